--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -143,7 +143,7 @@
     for now_s in _TICKS_S:
         _execute(store, replica.step(consensus.Tick(), now_s))
     proposal = consensus.CommandProposed(1, b'x' * 64)
-    proposals = consensus.ProposalsMade((proposal,) * batch)
+    proposals = consensus.BatchProposed((proposal,) * batch)
     started_s = time.perf_counter()
     for _ in range(_PROPOSALS // batch):
         _execute(store, replica.step(proposals, 20))
--- a/src/sardinemast/consensus/__init__.py
+++ b/src/sardinemast/consensus/__init__.py
@@ -3,6 +3,7 @@
 from sardinemast.consensus._events import (
     AppendToLog,
     ApplyEntry,
+    BatchProposed,
     CommandProposed,
     DiscardFolder,
     Event,
@@ -11,8 +12,7 @@
     Output,
     ProposalAccepted,
     ProposalRejected,
-    ProposalsMade,
-    RepairAsked,
+    RepairRequested,
     RestoreSnapshot,
     Role,
     RoleChanged,
@@ -41,8 +41,11 @@
     VoteReply,
     VoteRequest,
 )
-from sardinemast.consensus._parcels import pack_parcel, unpack_parcel
 from sardinemast.consensus._replica import Replica
+from sardinemast.consensus._routed_messages import (
+    pack_routed_message,
+    unpack_routed_message,
+)
 from sardinemast.consensus._settings import FolderIdentity, ReplicaSettings
 
 __all__ = (
@@ -50,6 +53,7 @@
     'AppendReply',
     'AppendToLog',
     'ApplyEntry',
+    'BatchProposed',
     'CommandProposed',
     'Configuration',
     'DiscardFolder',
@@ -67,8 +71,7 @@
     'Output',
     'ProposalAccepted',
     'ProposalRejected',
-    'ProposalsMade',
-    'RepairAsked',
+    'RepairRequested',
     'Replica',
     'ReplicaSettings',
     'RestoreSnapshot',
@@ -86,6 +89,6 @@
     'Tick',
     'VoteReply',
     'VoteRequest',
-    'pack_parcel',
-    'unpack_parcel',
+    'pack_routed_message',
+    'unpack_routed_message',
 )
--- a/src/sardinemast/consensus/_founding.py
+++ b/src/sardinemast/consensus/_bootstrap.py
@@ -21,7 +21,7 @@
 from sardinemast.consensus._state import ReplicaState
 
 
-class Founding:
+class Bootstrap:
     """Make the first configuration, or ask to be taken in."""
 
     def __init__(self, state: ReplicaState, folder: FolderIdentity) -> None:
--- a/src/sardinemast/consensus/_events.py
+++ b/src/sardinemast/consensus/_events.py
@@ -52,7 +52,7 @@
     payload: bytes
 
 
-class ProposalsMade(NamedTuple):
+class BatchProposed(NamedTuple):
     """Ask the leader to replicate commands by one write and sync."""
 
     proposals: tuple[CommandProposed, ...]
@@ -65,7 +65,7 @@
     image: bytes
 
 
-class RepairAsked(NamedTuple):
+class RepairRequested(NamedTuple):
     """Ask the leader to have a replica's folder replaced.
 
     The answer is ``ProposalAccepted`` with the commit index, or
@@ -145,9 +145,9 @@
     Tick
     | MessageReceived
     | CommandProposed
-    | ProposalsMade
+    | BatchProposed
     | SnapshotTaken
-    | RepairAsked
+    | RepairRequested
 )
 Output = (
     SendMessage
--- a/src/sardinemast/consensus/_receiving.py
+++ b/src/sardinemast/consensus/_receiving.py
@@ -3,6 +3,7 @@
 from functools import singledispatchmethod
 from typing import NamedTuple
 
+from sardinemast.consensus._bootstrap import Bootstrap
 from sardinemast.consensus._elections import Elections
 from sardinemast.consensus._events import (
     DiscardFolder,
@@ -10,7 +11,6 @@
     MessageReceived,
 )
 from sardinemast.consensus._following import Following
-from sardinemast.consensus._founding import Founding
 from sardinemast.consensus._membership import Membership
 from sardinemast.consensus._messages import (
     AppendEntries,
@@ -37,7 +37,7 @@
     elections: Elections
     following: Following
     replication: Replication
-    founding: Founding
+    founding: Bootstrap
     membership: Membership
 
 
--- a/src/sardinemast/consensus/_replica.py
+++ b/src/sardinemast/consensus/_replica.py
@@ -7,9 +7,11 @@
 from functools import singledispatchmethod
 from random import Random
 
+from sardinemast.consensus._bootstrap import Bootstrap
 from sardinemast.consensus._commit import Commits
 from sardinemast.consensus._elections import Elections
 from sardinemast.consensus._events import (
+    BatchProposed,
     CommandProposed,
     Event,
     HardState,
@@ -17,14 +19,12 @@
     Output,
     ProposalAccepted,
     ProposalRejected,
-    ProposalsMade,
-    RepairAsked,
+    RepairRequested,
     Role,
     SnapshotTaken,
     Tick,
 )
 from sardinemast.consensus._following import Following
-from sardinemast.consensus._founding import Founding
 from sardinemast.consensus._log import ReplicaLog
 from sardinemast.consensus._membership import Membership
 from sardinemast.consensus._messages import (
@@ -76,7 +76,7 @@
         self._elections = Elections(self._state)
         self._following = Following(self._state, self._commits)
         self._replication = Replication(self._state, self._commits)
-        self._founding = Founding(self._state, folder)
+        self._bootstrap = Bootstrap(self._state, folder)
         self._membership = Membership(
             self._state,
             self._commits,
@@ -88,7 +88,7 @@
                 self._elections,
                 self._following,
                 self._replication,
-                self._founding,
+                self._bootstrap,
                 self._membership,
             ),
         )
@@ -161,11 +161,11 @@
 
     @_handle.register
     def _handle_tick(self, event: Tick, now_s: float) -> None:
-        self._founding.tick(now_s)
+        self._bootstrap.tick(now_s)
         if self.role is Role.leader:
             self._replication.tick(now_s)
             self._membership.tick(now_s)
-        elif self._founding.is_active:
+        elif self._bootstrap.is_active:
             if self._elections.tick(now_s):
                 self._replication.start_term(now_s)
 
@@ -174,7 +174,7 @@
         self._propose((event,), now_s)
 
     @_handle.register
-    def _handle_proposals(self, event: ProposalsMade, now_s: float) -> None:
+    def _handle_proposals(self, event: BatchProposed, now_s: float) -> None:
         self._propose(event.proposals, now_s)
 
     @_handle.register
@@ -182,7 +182,7 @@
         self._commits.take_snapshot(event)
 
     @_handle.register
-    def _handle_repair(self, event: RepairAsked, now_s: float) -> None:
+    def _handle_repair(self, event: RepairRequested, now_s: float) -> None:
         if self._membership.retire(event.name, now_s):
             self._state.outputs.append(
                 ProposalAccepted(
--- a/src/sardinemast/consensus/_parcels.py
+++ b/src/sardinemast/consensus/_routed_messages.py
@@ -9,12 +9,12 @@
 _PARTS = 2
 
 
-def pack_parcel(output: SendMessage) -> list[Any]:
+def pack_routed_message(output: SendMessage) -> list[Any]:
     """Give route and message as plain values."""
     return [dump_plain(output.route), MESSAGES.pack(output.message)]
 
 
-def unpack_parcel(sender: str, plain: Any) -> MessageReceived:
+def unpack_routed_message(sender: str, plain: Any) -> MessageReceived:
     """Build the event for the receiver, or raise ``WireError``."""
     if not isinstance(plain, list) or len(plain) != _PARTS:
         raise WireError('wire.E002', 'A parcel is a route and a message.')
--- a/src/sardinemast/control/_core.py
+++ b/src/sardinemast/control/_core.py
@@ -170,13 +170,13 @@
         self._collected = []
         for asked in event.asked:
             self._handle_operator(asked, now_s)
-        proposals = consensus.ProposalsMade(tuple(self._collected))
+        proposals = consensus.BatchProposed(tuple(self._collected))
         self._collected = None
         self._step_replica(proposals, now_s)
 
     @_handle.register
     def _handle_repair(self, event: RepairAsked, now_s: float) -> None:
-        asked = consensus.RepairAsked(INTERNAL_REQUEST, event.name)
+        asked = consensus.RepairRequested(INTERNAL_REQUEST, event.name)
         outputs = self.replica.step(asked, now_s)
         is_accepted = any(
             isinstance(one, consensus.ProposalAccepted) for one in outputs
--- a/src/sardinemast/control/_job_desk.py
+++ b/src/sardinemast/control/_job_desk.py
@@ -5,9 +5,9 @@
 from typing import NamedTuple
 
 from sardinemast.consensus import (
+    BatchProposed,
     CommandProposed,
     Event,
-    ProposalsMade,
     Replica,
 )
 from sardinemast.control._call_desk import CallDesk, Caller
@@ -142,7 +142,7 @@
 
     @_handle.register
     def _handle_due(self, event: ProposalsDue, now_s: float) -> None:
-        proposals = ProposalsMade(tuple(self._gathered))
+        proposals = BatchProposed(tuple(self._gathered))
         self._gathered.clear()
         if proposals.proposals:
             self._leading.step_replica(proposals, now_s)
--- a/src/sardinemast/control/_roster_desk.py
+++ b/src/sardinemast/control/_roster_desk.py
@@ -51,7 +51,7 @@
             ages_s,
             strict=False,
         ):
-            self._roster.take_announcement(announcement, now_s, age_s)
+            self._roster.accept_announcement(announcement, now_s, age_s)
         self._is_changed = True
 
     def take_digest(self, digest: HeardUpstreams, now_s: float) -> None:
@@ -63,7 +63,7 @@
     def send_whole(self, stream_id: int, now_s: float) -> None:
         """Send all that entries have been told."""
         whole = RosterChanged(
-            *_split(self._roster.get_told()),
+            *_split(self._roster.get_published()),
             epoch=self._epoch,
             is_complete=self._is_complete,
         )
@@ -81,15 +81,15 @@
         self._place_unknown(now_s)
 
     def _send_changes(self, now_s: float) -> None:
-        changes = self._roster.take_changes(now_s)
+        changes = self._roster.publish_changes(now_s)
         if self._roster.is_complete(now_s) and not self._is_complete:
             self._is_complete = True
             for stream_id in self._sessions.sessions:
                 self.send_whole(stream_id, now_s)
-        elif changes.changed or changes.gone:
+        elif changes.changed or changes.removed_handles:
             message = RosterChanged(
                 *_split(changes.changed),
-                changes.gone,
+                changes.removed_handles,
                 self._epoch,
                 is_whole=False,
             )
--- a/src/sardinemast/entry/_core.py
+++ b/src/sardinemast/entry/_core.py
@@ -190,12 +190,12 @@
         now_s: float,
     ) -> None:
         self._reports.hear(event.announcement, now_s)
-        if self._view.take_leaving(event.announcement, now_s):
+        if self._view.accept_departure(event.announcement, now_s):
             self._show_roster(now_s)
 
     def _handle_lost(self, event: ControlLost, now_s: float) -> None:
         """Let the lease run out by itself, and tell all to the next leader."""
-        self._view.forget_handles()
+        self._view.clear_handles()
         self._demand.reset()
 
     def _handle_control(self, event: ControlReceived, now_s: float) -> None:
@@ -227,7 +227,7 @@
             )
             self._reports.start_epoch(message.epoch)
         else:
-            self._view.change(upstreams, message.gone, now_s)
+            self._view.apply_changes(upstreams, message.gone, now_s)
         self._show_roster(now_s)
 
     def _show_roster(self, now_s: float) -> None:
--- a/src/sardinemast/membership/__init__.py
+++ b/src/sardinemast/membership/__init__.py
@@ -3,7 +3,7 @@
 from sardinemast.membership._announcements import (
     Announcement,
     UpstreamStatus,
-    is_sound,
+    is_valid_announcement,
 )
 from sardinemast.membership._handles import decode_handles, encode_handles
 from sardinemast.membership._roster import (
@@ -24,5 +24,5 @@
     'UpstreamStatus',
     'decode_handles',
     'encode_handles',
-    'is_sound',
+    'is_valid_announcement',
 )
--- a/src/sardinemast/membership/_announcements.py
+++ b/src/sardinemast/membership/_announcements.py
@@ -50,7 +50,7 @@
         return (self.host, self.port)
 
 
-def is_sound(announcement: Announcement) -> bool:
+def is_valid_announcement(announcement: Announcement) -> bool:
     """Tell whether an upstream may say this."""
     names = (
         announcement.instance,
--- a/src/sardinemast/membership/_marks.py
+++ b/src/sardinemast/membership/_latest_versions.py
@@ -14,7 +14,7 @@
     noted_s: float
 
 
-class Marks:
+class LatestVersions:
     """Tell late announcements apart.
 
     An entry that was frozen wakes with announcements of an hour ago. Without
@@ -23,11 +23,11 @@
     """
 
     def __init__(self) -> None:
-        self._marks: dict[str, _Mark] = {}
+        self._latest_versions: dict[str, _Mark] = {}
 
     def is_late(self, announcement: Announcement) -> bool:
         """Tell whether something newer is known, or the end."""
-        mark = self._marks.get(announcement.instance)
+        mark = self._latest_versions.get(announcement.instance)
         if mark is None:
             return False
         if mark.version == announcement.version:
@@ -36,8 +36,8 @@
 
     def note(self, announcement: Announcement, now_s: float) -> None:
         """Note an announcement that is not late."""
-        self._marks.pop(announcement.instance, None)
-        self._marks[announcement.instance] = _Mark(
+        self._latest_versions.pop(announcement.instance, None)
+        self._latest_versions[announcement.instance] = _Mark(
             announcement.version,
             announcement.status is UpstreamStatus.stopped,
             now_s,
@@ -45,9 +45,9 @@
         self._forget(now_s)
 
     def _forget(self, now_s: float) -> None:
-        while self._marks:
-            name, oldest = next(iter(self._marks.items()))
+        while self._latest_versions:
+            name, oldest = next(iter(self._latest_versions.items()))
             is_old = oldest.noted_s <= now_s - MARK_S
-            if not is_old and len(self._marks) <= MAX_MARKS:
+            if not is_old and len(self._latest_versions) <= MAX_MARKS:
                 break
-            self._marks.pop(name)
+            self._latest_versions.pop(name)
--- a/src/sardinemast/membership/_roster.py
+++ b/src/sardinemast/membership/_roster.py
@@ -6,7 +6,7 @@
 
 from sardinemast.membership._announcements import Announcement, UpstreamStatus
 from sardinemast.membership._flapping import FlapCounter
-from sardinemast.membership._marks import Marks
+from sardinemast.membership._latest_versions import LatestVersions
 
 LEASE_S = 3.0
 SUSPECT_S = 1.5
@@ -32,7 +32,7 @@
     """Hold what changed since the last time, and the handles that ended."""
 
     changed: tuple[RosterUpstream, ...]
-    gone: tuple[int, ...]
+    removed_handles: tuple[int, ...]
 
 
 class Roster:
@@ -46,7 +46,7 @@
         self._heard_s: dict[int, float] = {}
         self._at_address: dict[tuple[str, int], str] = {}
         self._told: dict[str, RosterUpstream] = {}
-        self._marks = Marks()
+        self._latest_versions = LatestVersions()
         self._flaps = FlapCounter()
         self._started_s: float = 0
 
@@ -71,7 +71,7 @@
         """Tell whether whoever is there must have been heard by now."""
         return now_s >= self._started_s + self._lease_s
 
-    def take_announcement(
+    def accept_announcement(
         self,
         fresh: Announcement,
         now_s: float,
@@ -82,11 +82,11 @@
         Gives whether it was taken; a late one and one too many are not.
         """
         known = self._upstreams.get(fresh.instance)
-        if self._marks.is_late(fresh) or age_s >= self._lease_s:
+        if self._latest_versions.is_late(fresh) or age_s >= self._lease_s:
             return False
         if known is None and len(self._upstreams) >= MAX_UPSTREAMS:
             return False
-        self._marks.note(fresh, now_s)
+        self._latest_versions.note(fresh, now_s)
         # One that has stopped stays listed as such for a lease. An entry that
         # knows it from a former leader would else keep it as serving.
         self._put(fresh, known, now_s - age_s, now_s)
@@ -107,14 +107,14 @@
                 self._remove(upstream.announcement.instance)
         self._flaps.forget_old(now_s)
 
-    def get_told(self) -> tuple[RosterUpstream, ...]:
+    def get_published(self) -> tuple[RosterUpstream, ...]:
         """Give all that entries have been told."""
         return tuple(self._told.values())
 
-    def take_changes(self, now_s: float) -> RosterChanges:
+    def publish_changes(self, now_s: float) -> RosterChanges:
         """Give what entries are to be told now."""
         current = self._describe(now_s)
-        gone = tuple(
+        removed_handles = tuple(
             told.handle
             for name, told in self._told.items()
             if name not in current or current[name].handle != told.handle
@@ -126,7 +126,7 @@
             and self._told.get(name) != upstream
         )
         self._told = current
-        return RosterChanges(changed, gone)
+        return RosterChanges(changed, removed_handles)
 
     def _put(
         self,
--- a/src/sardinemast/membership/_view.py
+++ b/src/sardinemast/membership/_view.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from sardinemast.membership._announcements import Announcement, UpstreamStatus
-from sardinemast.membership._marks import Marks
+from sardinemast.membership._latest_versions import LatestVersions
 from sardinemast.membership._roster import RosterUpstream
 
 _Place = tuple[str, tuple[int, int]]
@@ -17,7 +17,7 @@
         self._upstreams: dict[str, Announcement] = {}
         self._versions: dict[int, Announcement] = {}
         self._handles: dict[_Place, int] = {}
-        self._marks = Marks()
+        self._latest_versions = LatestVersions()
 
     @property
     def announcements(self) -> tuple[Announcement, ...]:
@@ -26,21 +26,23 @@
 
     def is_late(self, announcement: Announcement) -> bool:
         """Tell whether something newer is known."""
-        return self._marks.is_late(announcement)
+        return self._latest_versions.is_late(announcement)
 
     def get_handle(self, announcement: Announcement) -> int | None:
         """Give the leader's handle of exactly this announcement."""
         place = (announcement.instance, announcement.version)
         return self._handles.get(place)
 
-    def take_leaving(self, announcement: Announcement, now_s: float) -> bool:
+    def accept_departure(
+        self, announcement: Announcement, now_s: float
+    ) -> bool:
         """Take an upstream's own word that it leaves, before the leader's."""
         if announcement.status not in _LEAVING:
             return False
         self._put(announcement, now_s)
         return True
 
-    def forget_handles(self) -> None:
+    def clear_handles(self) -> None:
         """Note that the leader is gone, and its handles with it."""
         self._handles.clear()
         self._versions.clear()
@@ -58,9 +60,9 @@
         known here stays until the list is complete.
         """
         former = dict(self._upstreams)
-        self.forget_handles()
+        self.clear_handles()
         self._upstreams.clear()
-        self.change(upstreams, (), now_s)
+        self.apply_changes(upstreams, (), now_s)
         for name, announcement in former.items():
             listed = self._upstreams.get(name)
             is_newer = listed and announcement.version > listed.version
@@ -68,14 +70,14 @@
             if (is_newer or is_missed) and not self.is_late(announcement):
                 self._upstreams[name] = announcement
 
-    def change(
+    def apply_changes(
         self,
         upstreams: Iterable[RosterUpstream],
-        gone: Iterable[int],
+        removed_handles: Iterable[int],
         now_s: float,
     ) -> None:
         """Take what the leader says has changed."""
-        for handle in gone:
+        for handle in removed_handles:
             self._remove(handle)
         for upstream in upstreams:
             announcement = upstream.announcement
@@ -85,9 +87,9 @@
             self._put(announcement, now_s)
 
     def _put(self, announcement: Announcement, now_s: float) -> None:
-        if self._marks.is_late(announcement):
+        if self._latest_versions.is_late(announcement):
             return
-        self._marks.note(announcement, now_s)
+        self._latest_versions.note(announcement, now_s)
         if announcement.status is UpstreamStatus.stopped:
             self._upstreams.pop(announcement.instance, None)
         else:
--- a/src/sardinemast/shell/_caller_http.py
+++ b/src/sardinemast/shell/_caller_http.py
@@ -21,7 +21,7 @@
 
 from sardinemast import entry
 from sardinemast.conf import Address
-from sardinemast.membership import Announcement, is_sound
+from sardinemast.membership import Announcement, is_valid_announcement
 from sardinemast.shell._arrivals import encode_refusal, refuse_malformed
 from sardinemast.shell._caller_exchange import CallerDesk, CallerExchange
 from sardinemast.shell._headers import OUTCOME_HEADER
@@ -252,7 +252,7 @@
     ]
     announcement: Announcement = load_plain(Announcement, fields)
     ip_address(announcement.host)
-    if not is_sound(announcement):
+    if not is_valid_announcement(announcement):
         raise WireError('membership.E001', 'A field is out of range.')
     return announcement
 
--- a/src/sardinemast/shell/_control.py
+++ b/src/sardinemast/shell/_control.py
@@ -179,7 +179,9 @@
     async def _read_peer(self, link: ServerConnection) -> None:
         async for frame in link:
             envelope = unseal_from(link, frame, self._identity, self._access)
-            received = consensus.unpack_parcel(envelope.sender, envelope.body)
+            received = consensus.unpack_routed_message(
+                envelope.sender, envelope.body
+            )
             self.loop.put(control.PeerReceived(*received))
 
     async def _read_entry(self, link: ServerConnection) -> None:
--- a/src/sardinemast/shell/_peer_links.py
+++ b/src/sardinemast/shell/_peer_links.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from sardinemast.conf import Address, ProcessSettings
-from sardinemast.consensus import SendMessage, pack_parcel
+from sardinemast.consensus import SendMessage, pack_routed_message
 from sardinemast.shell._identity import Identity
 from sardinemast.shell._links import PeerLink
 from sardinemast.shell._security import Access
@@ -43,7 +43,7 @@
         """Send a message to a peer, or drop it where none is reached."""
         link = self._get(output.to)
         if link is not None:
-            link.send(pack_parcel(output))
+            link.send(pack_routed_message(output))
 
     def _get(self, name: str) -> PeerLink | None:
         link = self._links.get(name)
--- a/tests/builders/replicas.py
+++ b/tests/builders/replicas.py
@@ -18,7 +18,7 @@
     MessageReceived,
     Output,
     ProposalAccepted,
-    RepairAsked,
+    RepairRequested,
     Replica,
     ReplicaSettings,
     RestoreSnapshot,
@@ -289,7 +289,7 @@
     def ask_repair(self, name: str) -> None:
         """Have an operator ask for a replica's folder to be replaced."""
         for node in tuple(self.get_awake()):
-            self.feed(node, RepairAsked(0, name))
+            self.feed(node, RepairRequested(0, name))
 
     def may_lose(self, node: Node) -> bool:
         """Tell whether a majority of each configuration keeps its folder."""
--- a/tests/consensus/test_identities.py
+++ b/tests/consensus/test_identities.py
@@ -6,7 +6,7 @@
 from sardinemast.consensus import (
     MessageReceived,
     ProposalRejected,
-    RepairAsked,
+    RepairRequested,
     Route,
     SendMessage,
     VoteReply,
@@ -86,7 +86,7 @@
     cluster.run(20)
     now_s = leader.get_local_s(cluster.true_s)
     assert leader.replica
-    outputs = leader.replica.step(RepairAsked(7, second.name), now_s)
+    outputs = leader.replica.step(RepairRequested(7, second.name), now_s)
     assert outputs == [ProposalRejected(7, leader.name)]
 
 
--- a/tests/consensus/test_leader_session.py
+++ b/tests/consensus/test_leader_session.py
@@ -5,11 +5,11 @@
 from builders import Session, check_golden
 from sardinemast.consensus import (
     AppendReply,
+    BatchProposed,
     CommandProposed,
     HardState,
     Message,
     MessageReceived,
-    ProposalsMade,
     Replica,
     ReplicaSettings,
     SnapshotTaken,
@@ -38,7 +38,7 @@
     session.step(_receive(AppendReply(1, True, 1, 2.02)), 2.03)
     session.note('Two commands make one write, and commit together.')
     proposals = (CommandProposed(1, b'one'), CommandProposed(2, b'two'))
-    session.step(ProposalsMade(proposals), 2.05)
+    session.step(BatchProposed(proposals), 2.05)
     session.step(_receive(AppendReply(1, True, 3, 2.05)), 2.06)
     session.note('A snapshot takes the place of all entries.')
     session.step(SnapshotTaken(3, b'image'), 2.07)
--- a/tests/membership/test_roster.py
+++ b/tests/membership/test_roster.py
@@ -17,16 +17,16 @@
 def _make_roster(*names: str) -> Roster:
     roster = Roster()
     for port, name in enumerate(names, start=1):
-        roster.take_announcement(make_announcement(name, port=port), 10)
-    roster.take_changes(10)
+        roster.accept_announcement(make_announcement(name, port=port), 10)
+    roster.publish_changes(10)
     return roster
 
 
 def _get_status(roster: Roster, now_s: float) -> dict[str, UpstreamStatus]:
-    roster.take_changes(now_s)
+    roster.publish_changes(now_s)
     return {
         one.announcement.instance: one.announcement.status
-        for one in roster.get_told()
+        for one in roster.get_published()
     }
 
 
@@ -43,8 +43,8 @@
     """
     roster = _make_roster('a')
     draining = _change('a', status=UpstreamStatus.draining, sequence=2)
-    roster.take_announcement(draining, 11)
-    assert not roster.take_announcement(_change('a', sequence=1), 11)
+    roster.accept_announcement(draining, 11)
+    assert not roster.accept_announcement(_change('a', sequence=1), 11)
     assert _get_status(roster, 11) == {'a': 'draining'}
 
 
@@ -54,12 +54,12 @@
     An entry that was frozen for an hour passes on what it heard before.
     """
     roster = _make_roster('a')
-    roster.take_announcement(
+    roster.accept_announcement(
         _change('a', status=UpstreamStatus.stopped, sequence=3), 11
     )
     roster.expire(3600)
     for sequence in (1, 2, 3):
-        roster.take_announcement(_change('a', sequence=sequence), 3600)
+        roster.accept_announcement(_change('a', sequence=sequence), 3600)
     assert _get_status(roster, 3600) == {}
 
 
@@ -67,7 +67,7 @@
     """Suspect one that is silent, and drop it after its lease."""
     roster = _make_roster('a', 'b', 'c')
     for name in ('b', 'c'):
-        roster.take_announcement(make_announcement(name), 12)
+        roster.accept_announcement(make_announcement(name), 12)
     assert _get_status(roster, 11.6)['a'] == 'suspected'
     roster.expire(13.1)
     assert 'a' not in _get_status(roster, 13.1)
@@ -87,9 +87,9 @@
     """Give no work to an instance that starts again and again."""
     roster = _make_roster('a')
     for start in range(2, 5):
-        roster.take_announcement(_change('a', incarnation=start), 10 + start)
+        roster.accept_announcement(_change('a', incarnation=start), 10 + start)
     assert _get_status(roster, 14) == {'a': 'joining'}
-    roster.take_announcement(_change('a', incarnation=4), 24)
+    roster.accept_announcement(_change('a', incarnation=4), 24)
     assert _get_status(roster, 24.1) == {'a': 'serving'}
 
 
@@ -99,9 +99,9 @@
     roster = _make_roster(*names)
     for port, name in enumerate(names, start=1):
         fresh = _change(name, incarnation=2, port=port)
-        roster.take_announcement(fresh, 11)
-    changes = roster.take_changes(11)
-    assert (len(changes.changed), len(changes.gone)) == (330, 330)
+        roster.accept_announcement(fresh, 11)
+    changes = roster.publish_changes(11)
+    assert (len(changes.changed), len(changes.removed_handles)) == (330, 330)
     assert set(_get_status(roster, 11).values()) == {'serving'}
 
 
@@ -109,7 +109,7 @@
     """Drop an instance whose address another one announces."""
     roster = _make_roster('a')
     other = make_announcement('b', port=1)
-    roster.take_announcement(other, 11)
+    roster.accept_announcement(other, 11)
     assert set(_get_status(roster, 11)) == {'b'}
 
 
@@ -121,7 +121,7 @@
     """
     roster = _make_roster(*(f'n{number}' for number in range(5100)))
     assert len(roster.upstreams) == 5000
-    assert roster.take_announcement(_change('n1', sequence=1, port=2), 11)
+    assert roster.accept_announcement(_change('n1', sequence=1, port=2), 11)
 
 
 def test_incomplete_list_drops_nobody() -> None:
@@ -140,7 +140,7 @@
     view = RosterView()
     known = (RosterUpstream(1, make_announcement('a')),)
     view.replace(known, 0, is_complete=True)
-    view.take_leaving(
+    view.accept_departure(
         _change('a', status=UpstreamStatus.stopped, sequence=1), 1
     )
     view.replace(known, 2, is_complete=True)
