--- a/src/sardinemast/consensus/_events.py
+++ b/src/sardinemast/consensus/_events.py
@@ -109,7 +109,7 @@
     snapshot: Snapshot
 
 
-class DiscardFolder(NamedTuple):
+class ReplaceFolder(NamedTuple):
     """Set the data folder aside and start again with an empty one."""
 
 
@@ -155,7 +155,7 @@
     | AppendToLog
     | SaveSnapshot
     | RestoreSnapshot
-    | DiscardFolder
+    | ReplaceFolder
     | ApplyEntry
     | ProposalAccepted
     | ProposalRejected
--- a/src/sardinemast/consensus/_receiving.py
+++ b/src/sardinemast/consensus/_receiving.py
@@ -6,9 +6,9 @@
 from sardinemast.consensus._bootstrap import Bootstrap
 from sardinemast.consensus._elections import Elections
 from sardinemast.consensus._events import (
-    DiscardFolder,
     HardState,
     MessageReceived,
+    ReplaceFolder,
 )
 from sardinemast.consensus._following import Following
 from sardinemast.consensus._membership import Membership
@@ -191,5 +191,5 @@
     ) -> None:
         if message.term == self._state.term:
             self._state.become_follower(now_s)
-            self._state.outputs.append(DiscardFolder())
+            self._state.outputs.append(ReplaceFolder())
             self._state.is_retired = True
--- a/src/sardinemast/shell/_control.py
+++ b/src/sardinemast/shell/_control.py
@@ -44,8 +44,8 @@
 from sardinemast.shell.exceptions import FolderDiscardedError, ShellError
 from sardinemast.storage import (
     StorageError,
-    discard_folder,
     open_or_replace_log_store,
+    set_folder_aside,
 )
 from sardinemast.wire import WireError, load_plain
 
@@ -260,10 +260,10 @@
         )
 
     @_execute.register
-    def _execute_discard(self, output: consensus.DiscardFolder) -> None:
+    def _execute_discard(self, output: consensus.ReplaceFolder) -> None:
         self._writer.close()
         _log.warning(
-            'The folder is set aside: {}.', discard_folder(self._folder)
+            'The folder is set aside: {}.', set_folder_aside(self._folder)
         )
         raise FolderDiscardedError
 
--- a/src/sardinemast/storage/_files.py
+++ b/src/sardinemast/storage/_files.py
@@ -69,7 +69,7 @@
         os.close(descriptor)
 
 
-REAL_FILES = FileFunctions(
+OS_FILE_FUNCTIONS = FileFunctions(
     _create,
     _reopen,
     os.write,
--- a/src/sardinemast/storage/_log_store.py
+++ b/src/sardinemast/storage/_log_store.py
@@ -10,7 +10,7 @@
     Snapshot,
 )
 from sardinemast.storage._files import (
-    REAL_FILES,
+    OS_FILE_FUNCTIONS,
     FileFunctions,
     replace_file,
     write_all,
@@ -138,7 +138,7 @@
 
 def open_log_store(
     folder: Path,
-    files: FileFunctions = REAL_FILES,
+    files: FileFunctions = OS_FILE_FUNCTIONS,
 ) -> tuple[LogStore, LoadedLog]:
     """Read the log of the folder and open it for appending.
 
--- a/src/sardinemast/storage/_repair.py
+++ b/src/sardinemast/storage/_repair.py
@@ -6,7 +6,7 @@
 
 from logbook import Logger
 
-from sardinemast.storage._files import REAL_FILES, FileFunctions
+from sardinemast.storage._files import OS_FILE_FUNCTIONS, FileFunctions
 from sardinemast.storage._folder import ASIDE_SUFFIX
 from sardinemast.storage._log_store import LoadedLog, LogStore, open_log_store
 from sardinemast.storage.exceptions import StorageError
@@ -17,7 +17,7 @@
 
 def open_or_replace_log_store(
     folder: Path,
-    files: FileFunctions = REAL_FILES,
+    files: FileFunctions = OS_FILE_FUNCTIONS,
 ) -> tuple[LogStore, LoadedLog]:
     """Open the log, or an empty one in place of what cannot be trusted."""
     try:
@@ -26,11 +26,13 @@
         if error.code not in _REPAIRABLE:
             raise
         _log.warning('{}', error)
-    discard_folder(folder, files)
+    set_folder_aside(folder, files)
     return open_log_store(folder, files)
 
 
-def discard_folder(folder: Path, files: FileFunctions = REAL_FILES) -> Path:
+def set_folder_aside(
+    folder: Path, files: FileFunctions = OS_FILE_FUNCTIONS
+) -> Path:
     """Set the folder aside, so that the next one is made anew beside it."""
     numbers = count(1)
     aside = folder
--- a/tests/builders/disks.py
+++ b/tests/builders/disks.py
@@ -4,7 +4,7 @@
 import os
 from pathlib import Path
 
-from sardinemast.storage import REAL_FILES, FileFunctions
+from sardinemast.storage import OS_FILE_FUNCTIONS, FileFunctions
 
 
 class KilledError(Exception):
@@ -34,7 +34,7 @@
             self._reopen,
             self._write,
             self._sync,
-            REAL_FILES.close,
+            OS_FILE_FUNCTIONS.close,
             self._rename,
             self._sync_folder,
         )
@@ -64,14 +64,14 @@
 
     def _create(self, path: Path) -> int:
         self._step()
-        descriptor = REAL_FILES.create(path)
+        descriptor = OS_FILE_FUNCTIONS.create(path)
         self._paths[descriptor] = path
         self._synced_bytes[path] = 0
         return descriptor
 
     def _reopen(self, path: Path) -> int:
         self._step()
-        descriptor = REAL_FILES.reopen(path)
+        descriptor = OS_FILE_FUNCTIONS.reopen(path)
         self._paths[descriptor] = path
         self._synced_bytes.setdefault(path, path.stat().st_size)
         return descriptor
--- a/tests/builders/replicas.py
+++ b/tests/builders/replicas.py
@@ -9,7 +9,6 @@
     ApplyEntry,
     CommandProposed,
     Configuration,
-    DiscardFolder,
     Event,
     FolderIdentity,
     HardState,
@@ -19,6 +18,7 @@
     Output,
     ProposalAccepted,
     RepairRequested,
+    ReplaceFolder,
     Replica,
     ReplicaSettings,
     RestoreSnapshot,
@@ -392,7 +392,7 @@
         elif isinstance(output, RestoreSnapshot):
             node.restore(output.snapshot)
             self._check_image(node)
-        elif isinstance(output, DiscardFolder):
+        elif isinstance(output, ReplaceFolder):
             node.lose_folder(may_found=False)
         elif isinstance(output, ApplyEntry):
             self._apply(node, output.entry)
