--- a/src/sardinemast/consensus/__init__.py
+++ b/src/sardinemast/consensus/__init__.py
@@ -1,4 +1,4 @@
-"""Agree on one order of commands among replicas that may fail."""
+"""Replicate a log of commands between replicas with Raft."""
 
 from sardinemast.consensus._events import (
     AppendToLog,
--- a/src/sardinemast/consensus/_elections.py
+++ b/src/sardinemast/consensus/_elections.py
@@ -1,4 +1,4 @@
-"""Elections with pre-vote (Ongaro, 2014, sections 3.4 and 9.6)."""
+"""Run elections with pre-vote (Ongaro, 2014, sections 3.4 and 9.6)."""
 
 from sardinemast.consensus._events import HardState, Role
 from sardinemast.consensus._messages import Member, VoteReply, VoteRequest
@@ -6,7 +6,7 @@
 
 
 class Elections:
-    """Ask for votes, give them and count them."""
+    """Request, grant and count votes."""
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
@@ -14,7 +14,10 @@
         self._is_pre_vote = False
 
     def tick(self, now_s: float) -> bool:
-        """Start an election when due; tell whether it is won at once."""
+        """Start an election when due; return whether it is already won.
+
+        A single voter wins without waiting for a reply.
+        """
         state = self._state
         if now_s < state.election_due_s or not state.is_voter:
             return False
@@ -26,12 +29,12 @@
         sender: Member,
         now_s: float,
     ) -> None:
-        """Answer a request for a vote."""
+        """Grant or refuse a vote, and reply."""
         state = self._state
-        is_granted = self._is_vote_due(message, sender, now_s)
+        is_granted = self._should_grant_vote(message, sender, now_s)
         if is_granted and not message.is_pre_vote:
-            state.save(HardState(state.term, sender.identity))
-            state.reset_election(now_s)
+            state.save_hard_state(HardState(state.term, sender.identity))
+            state.reset_election_timer(now_s)
         term = message.term if is_granted else state.term
         state.send(sender, VoteReply(term, is_granted, message.is_pre_vote))
 
@@ -41,28 +44,28 @@
         sender: Member,
         now_s: float,
     ) -> bool:
-        """Count a vote, and tell whether the election is won."""
+        """Count a vote, and return whether the election is won."""
         state = self._state
-        asked_term = state.term + 1 if self._is_pre_vote else state.term
+        requested_term = state.term + 1 if self._is_pre_vote else state.term
         if (
             state.role is not Role.candidate
             or not message.is_granted
             or message.is_pre_vote != self._is_pre_vote
-            or message.term != asked_term
+            or message.term != requested_term
         ):
             return False
         self._votes.add(sender.identity)
-        return self._count(now_s)
+        return self._check_won(now_s)
 
     def _start(self, now_s: float, *, is_pre_vote: bool) -> bool:
         state = self._state
-        state.become(Role.candidate)
+        state.change_role(Role.candidate)
         state.leader = ''
         self._is_pre_vote = is_pre_vote
         self._votes = {state.identity}
-        state.reset_election(now_s)
+        state.reset_election_timer(now_s)
         if not is_pre_vote:
-            state.save(HardState(state.term + 1, state.identity))
+            state.save_hard_state(HardState(state.term + 1, state.identity))
         request = VoteRequest(
             state.term + 1 if is_pre_vote else state.term,
             state.log.last_index,
@@ -72,33 +75,33 @@
         for peer in state.get_peers():
             if peer.is_voter:
                 state.send(peer, request)
-        return self._count(now_s)
+        return self._check_won(now_s)
 
-    def _count(self, now_s: float) -> bool:
+    def _check_won(self, now_s: float) -> bool:
         if not self._state.has_quorum(self._votes):
             return False
         return not self._is_pre_vote or self._start(now_s, is_pre_vote=False)
 
-    def _is_vote_due(
+    def _should_grant_vote(
         self,
         message: VoteRequest,
         sender: Member,
         now_s: float,
     ) -> bool:
-        # Whoever still hears a leader refuses to depose it, or a leader that
-        # trusts its lease could be replaced while it serves.
+        # While a leader is live its lease may be valid, so that a vote could
+        # elect a second leader that serves at the same time.
         state = self._state
         log = state.log
-        is_newer_log = (message.last_term, message.last_index) >= (
+        is_log_current = (message.last_term, message.last_index) >= (
             log.last_term,
             log.last_index,
         )
-        if message.term < state.term or not is_newer_log:
+        if message.term < state.term or not is_log_current:
             return False
-        # A learner votes as well: the entry that makes it a voter may be on
-        # its way, and then the others need its vote for their majority. Who
-        # counts it goes by the candidate's own configuration.
-        if state.is_settled(now_s):
+        # A learner votes as well: the entry that makes it a voter may not have
+        # arrived here, and the majority may depend on it. Only the candidate
+        # decides, by its own configuration, whether the vote counts.
+        if state.has_live_leader(now_s):
             return False
         return message.is_pre_vote or state.hard_state.voted_for in {
             '',
--- a/src/sardinemast/consensus/_events.py
+++ b/src/sardinemast/consensus/_events.py
@@ -1,4 +1,4 @@
-"""What goes into a replica and what comes out of it."""
+"""Events that a replica handles and outputs that it returns."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Role(StrEnum):
-    """What a replica is in its term."""
+    """Define the roles of a replica in a term."""
 
     follower = 'follower'
     candidate = 'candidate'
@@ -15,21 +15,21 @@
 
 
 class HardState(NamedTuple):
-    """What must be synced before a vote or an answer leaves the replica."""
+    """Hold the term and vote, synced before any message that relies on them."""
 
     term: int = 0
     voted_for: str = ''
 
 
 class Tick(NamedTuple):
-    """Tell the replica that time has passed."""
+    """Let the replica check its timers."""
 
 
 class Route(NamedTuple):
-    """Say from which folder to which a message goes.
+    """Identify the sending and the receiving data folder of a message.
 
-    An empty recipient is whoever runs under the name. All fields are empty
-    where replicas run without identities.
+    An empty recipient addresses any folder of the named process. All fields
+    are empty where replicas run without identities.
     """
 
     sender: str = ''
@@ -38,7 +38,7 @@
 
 
 class MessageReceived(NamedTuple):
-    """Hand over a message of another replica, by its name."""
+    """Deliver a message from the named replica."""
 
     sender: str
     message: Message
@@ -53,23 +53,24 @@
 
 
 class BatchProposed(NamedTuple):
-    """Ask the leader to replicate commands by one write and sync."""
+    """Ask the leader to replicate commands with a single write and sync."""
 
     proposals: tuple[CommandProposed, ...]
 
 
 class SnapshotTaken(NamedTuple):
-    """Hand over the image of the state after an applied entry."""
+    """Deliver the serialized state as of an applied entry."""
 
     log_index: int
     image: bytes
 
 
 class RepairRequested(NamedTuple):
-    """Ask the leader to have a replica's folder replaced.
+    """Ask the leader to have a replica's data folder replaced.
 
-    The answer is ``ProposalAccepted`` with the commit index, or
-    ``ProposalRejected`` where this is no leader or would lose a majority.
+    The output is ``ProposalAccepted`` with the commit index, or
+    ``ProposalRejected`` if this replica does not lead or the other voters
+    are no majority.
     """
 
     proposal_id: int
@@ -77,7 +78,7 @@
 
 
 class SendMessage(NamedTuple):
-    """Send a message once all earlier outputs are done."""
+    """Send a message after all earlier outputs are carried out."""
 
     to: str
     message: Message
@@ -85,42 +86,42 @@
 
 
 class SaveHardState(NamedTuple):
-    """Write and sync the hard state before any later output."""
+    """Write and sync the hard state before carrying out later outputs."""
 
     hard_state: HardState
 
 
 class AppendToLog(NamedTuple):
-    """Cut the log from the first entry's index, append, and sync."""
+    """Truncate the log at the first entry's index, append, and sync."""
 
     entries: tuple[LogEntry, ...]
 
 
 class SaveSnapshot(NamedTuple):
-    """Write and sync the snapshot and the entries behind it."""
+    """Write and sync the snapshot and the entries that follow it."""
 
     snapshot: Snapshot
     entries: tuple[LogEntry, ...]
 
 
 class RestoreSnapshot(NamedTuple):
-    """Replace the state by a snapshot; applying goes on behind it."""
+    """Replace the state by a snapshot; applying continues after it."""
 
     snapshot: Snapshot
 
 
 class ReplaceFolder(NamedTuple):
-    """Set the data folder aside and start again with an empty one."""
+    """Set the data folder aside and restart with an empty one."""
 
 
 class ApplyEntry(NamedTuple):
-    """Apply a committed entry; entries come once each and in order."""
+    """Apply a committed entry; each entry is output once and in order."""
 
     entry: LogEntry
 
 
 class ProposalAccepted(NamedTuple):
-    """Tell at which index and term a proposal stands in the leader's log."""
+    """Report the log index and term at which a proposal was appended."""
 
     proposal_id: int
     log_index: int
@@ -128,14 +129,14 @@
 
 
 class ProposalRejected(NamedTuple):
-    """Refuse a proposal; nothing of it was written."""
+    """Report that a proposal was not appended, and who leads if known."""
 
     proposal_id: int
     leader: str
 
 
 class RoleChanged(NamedTuple):
-    """Tell the role of this replica in a term."""
+    """Report the new role of this replica in a term."""
 
     role: Role
     term: int
--- a/src/sardinemast/consensus/_following.py
+++ b/src/sardinemast/consensus/_follower.py
@@ -1,6 +1,6 @@
-"""Take entries and snapshots from the leader."""
+"""Receive entries and snapshots from the leader."""
 
-from sardinemast.consensus._commit import Commits
+from sardinemast.consensus._commit_tracker import CommitTracker
 from sardinemast.consensus._events import Role
 from sardinemast.consensus._messages import (
     AppendEntries,
@@ -13,15 +13,15 @@
 from sardinemast.consensus._state import ReplicaState
 
 
-class Following:
-    """Follow the leader of the term."""
+class Follower:
+    """Follow the leader of the current term."""
 
-    def __init__(self, state: ReplicaState, commits: Commits) -> None:
+    def __init__(self, state: ReplicaState, commits: CommitTracker) -> None:
         self._state = state
         self._commits = commits
-        # Parts of one snapshot, which is known by its last entry.
-        self._incoming = (0, 0)
-        self._image = bytearray()
+        # Last index and term of the snapshot whose chunks are buffered.
+        self._incoming_snapshot = (0, 0)
+        self._received = bytearray()
 
     def receive_append(
         self,
@@ -29,10 +29,10 @@
         sender: Member,
         now_s: float,
     ) -> None:
-        """Take entries, and answer how far the logs agree."""
-        if not self._follow(message.term, sender, now_s):
+        """Store entries, and reply up to which index the logs match."""
+        if not self._accept_leader(message.term, sender, now_s):
             return
-        match_index = self._take_entries(message)
+        match_index = self._store_entries(message)
         is_success = match_index is not None
         if match_index is None:
             match_index = min(
@@ -47,41 +47,41 @@
         sender: Member,
         now_s: float,
     ) -> None:
-        """Take a part of a snapshot, and install it with the last one."""
-        if not self._follow(message.term, sender, now_s):
+        """Buffer a snapshot chunk, and install the snapshot after the last."""
+        if not self._accept_leader(message.term, sender, now_s):
             return
         if message.last_index <= self._commits.commit_index:
             self._reply(sender, True, message.last_index, message.sent_at_s)
             return
-        self._collect(message)
-        if message.is_last and self._incoming == (0, 0):
+        self._buffer_chunk(message)
+        if message.is_last and self._incoming_snapshot == (0, 0):
             self._reply(sender, True, message.last_index, message.sent_at_s)
             return
         reply = SnapshotReply(
             self._state.term,
             message.last_index,
-            len(self._image),
+            len(self._received),
             message.sent_at_s,
         )
         self._state.send(sender, reply)
 
-    def _collect(self, message: SnapshotChunk) -> None:
-        head = (message.last_index, message.last_term)
-        if self._incoming != head:
-            self._incoming = head
-            self._image.clear()
-        if message.offset_bytes != len(self._image):
+    def _buffer_chunk(self, message: SnapshotChunk) -> None:
+        snapshot_id = (message.last_index, message.last_term)
+        if self._incoming_snapshot != snapshot_id:
+            self._incoming_snapshot = snapshot_id
+            self._received.clear()
+        if message.offset_bytes != len(self._received):
             return
-        self._image.extend(message.chunk)
+        self._received.extend(message.chunk)
         if message.is_last:
-            image = bytes(self._image)
-            self._incoming = (0, 0)
-            self._image.clear()
+            image = bytes(self._received)
+            self._incoming_snapshot = (0, 0)
+            self._received.clear()
             self._commits.install(
-                Snapshot(*head, message.configuration, image),
+                Snapshot(*snapshot_id, message.configuration, image),
             )
 
-    def _follow(self, term: int, sender: Member, now_s: float) -> bool:
+    def _accept_leader(self, term: int, sender: Member, now_s: float) -> bool:
         state = self._state
         if term < state.term:
             self._reply(sender, is_success=False, match_index=0, sent_at_s=0)
@@ -89,8 +89,8 @@
         if state.role is not Role.follower:
             state.become_follower(now_s)
         state.leader = sender.name
-        state.heard_leader_s = now_s
-        state.reset_election(now_s)
+        state.last_leader_contact_s = now_s
+        state.reset_election_timer(now_s)
         return True
 
     def _reply(
@@ -108,10 +108,11 @@
         )
         self._state.send(sender, reply)
 
-    def _take_entries(self, message: AppendEntries) -> int | None:
+    def _store_entries(self, message: AppendEntries) -> int | None:
         state = self._state
         match_index = message.previous_index + len(message.entries)
-        # What a snapshot covers is committed, and so the same everywhere.
+        # Entries that a snapshot covers are committed, so that they match
+        # the leader's.
         if message.previous_index < state.log.base_index:
             if match_index < state.log.base_index:
                 return match_index
--- a/src/sardinemast/consensus/_log.py
+++ b/src/sardinemast/consensus/_log.py
@@ -1,55 +1,54 @@
-"""Log of one replica in memory."""
+"""Keep the log of one replica in memory."""
 
 from sardinemast.consensus._messages import Configuration, LogEntry, Snapshot
 
 
 class ReplicaLog:
-    """Hold entries behind a snapshot without gaps."""
+    """Hold a snapshot and consecutive entries that reach beyond it."""
 
     def __init__(
         self,
-        first: Configuration,
+        initial_configuration: Configuration,
         snapshot: Snapshot | None,
         entries: tuple[LogEntry, ...],
     ) -> None:
-        self.snapshot = snapshot or Snapshot(0, 0, first, b'')
+        self.snapshot = snapshot or Snapshot(0, 0, initial_configuration, b'')
         self._entries: list[LogEntry] = []
-        # The configuration in force is asked for at every message, so it is
-        # kept by the index from which it holds, not looked for in the log.
+        # Each configuration with the index from which it holds. The newest is
+        # read for every message, too often to search the log for it.
         self._configurations = [(0, self.snapshot.configuration)]
-        # The terms and indexes up to here are the only facts known of
-        # entries that a snapshot replaced.
+        # Index and term of the last entry that is no longer in memory.
         self._base_index = self.snapshot.last_index
         self._base_term = self.snapshot.last_term
         self._extend(entries)
 
     @property
     def configuration(self) -> Configuration:
-        """Give the newest configuration, committed or not."""
+        """Return the newest configuration, committed or not."""
         return self._configurations[-1][1]
 
     @property
     def configuration_index(self) -> int:
-        """Give the index of the newest configuration."""
+        """Return the log index of the newest configuration."""
         return self._configurations[-1][0]
 
     @property
     def base_index(self) -> int:
-        """Give the index of the last entry that is no longer here."""
+        """Return the index of the last entry that is not in memory."""
         return self._base_index
 
     @property
     def last_index(self) -> int:
-        """Give the index of the newest entry, 0 when empty."""
+        """Return the index of the newest entry, 0 if there is none."""
         return self._base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
-        """Give the term of the newest entry, 0 when empty."""
+        """Return the term of the newest entry, 0 if there is none."""
         return self.get_term(self.last_index) or 0
 
     def get_term(self, index: int) -> int | None:
-        """Give the term at the index, or nothing where it is not known."""
+        """Return the term of the entry at an index, if known."""
         if index == self._base_index:
             return self._base_term
         if not self._base_index < index <= self.last_index:
@@ -57,21 +56,21 @@
         return self.get_entry(index).term
 
     def get_entry(self, index: int) -> LogEntry:
-        """Give the entry at the index."""
+        """Return the entry at an index."""
         return self._entries[index - self._base_index - 1]
 
     def get_range(
         self,
-        first: int,
+        first_index: int,
         count: int,
         batch_bytes: int,
     ) -> tuple[LogEntry, ...]:
-        """Give entries from the first index on, as one message takes them.
+        """Return the entries from an index on that fit into one message.
 
-        These are at most ``count``, and so many that their payloads stay
-        below the bound, but at least one.
+        These are at most ``count`` entries with at most ``batch_bytes`` of
+        payload; the first entry is included whatever its size.
         """
-        start = first - self._base_index - 1
+        start = first_index - self._base_index - 1
         found: list[LogEntry] = []
         size = 0
         for entry in self._entries[start : start + count]:
@@ -82,28 +81,30 @@
         return tuple(found)
 
     def get_configuration_at(self, index: int) -> Configuration:
-        """Give the configuration that held at the index."""
-        return [one for place, one in self._configurations if place <= index][
-            -1
-        ]
-
-    def put(self, entries: tuple[LogEntry, ...]) -> tuple[LogEntry, ...]:
-        """Add what is new, cutting what disagrees, and give what was added."""
+        """Return the configuration in force at an index."""
+        return [
+            configuration
+            for start_index, configuration in self._configurations
+            if start_index <= index
+        ][-1]
+
+    def merge(self, entries: tuple[LogEntry, ...]) -> tuple[LogEntry, ...]:
+        """Append new entries, truncating at a conflict; return those added."""
         for position, entry in enumerate(entries):
             if entry.log_index <= self._base_index:
                 continue
             if self.get_term(entry.log_index) != entry.term:
-                fresh = entries[position:]
-                self._cut_from(entry.log_index)
-                self._extend(fresh)
-                return fresh
+                added = entries[position:]
+                self._truncate_from(entry.log_index)
+                self._extend(added)
+                return added
         return ()
 
     def compact(self, snapshot: Snapshot, retained: int) -> None:
-        """Drop entries up to the snapshot, but for the newest ones.
+        """Drop entries that a snapshot covers, but retain the newest.
 
-        The retained entries spare a follower that is a little behind the
-        whole snapshot.
+        A follower that lags a little catches up from the retained entries
+        instead of the whole snapshot.
         """
         base_index = max(self._base_index, snapshot.last_index - retained)
         base_term = self.get_term(base_index) or 0
@@ -113,7 +114,7 @@
         self.snapshot = snapshot
 
     def install(self, snapshot: Snapshot) -> None:
-        """Take another replica's snapshot in place of what it covers."""
+        """Replace the log by a snapshot, keeping matching later entries."""
         if self.get_term(snapshot.last_index) == snapshot.last_term:
             self.compact(snapshot, 0)
             return
@@ -123,8 +124,8 @@
         self._configurations = [(0, snapshot.configuration)]
         self.snapshot = snapshot
 
-    def get_behind_snapshot(self) -> tuple[LogEntry, ...]:
-        """Give the entries that the snapshot does not cover."""
+    def get_entries_after_snapshot(self) -> tuple[LogEntry, ...]:
+        """Return the entries that the snapshot does not cover."""
         skipped = self.snapshot.last_index - self._base_index
         return tuple(self._entries[skipped:])
 
@@ -136,7 +137,7 @@
             if entry.configuration is not None
         )
 
-    def _cut_from(self, index: int) -> None:
+    def _truncate_from(self, index: int) -> None:
         del self._entries[index - self._base_index - 1 :]
         while self._configurations[-1][0] >= index:
             self._configurations.pop()
--- a/src/sardinemast/consensus/_messages.py
+++ b/src/sardinemast/consensus/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between replicas, and what stands in their log."""
+"""Define the messages between replicas and the records of their log."""
 
 from typing import NamedTuple
 
@@ -6,9 +6,9 @@
 
 
 class Member(NamedTuple):
-    """Name one data folder of a replica; a learner does not vote.
+    """Describe a member of the cluster, which is a voter or a learner.
 
-    ``identity`` is made once with the folder, ``name`` is the process.
+    ``identity`` is that of the data folder, ``name`` that of the process.
     """
 
     identity: str
@@ -17,33 +17,33 @@
 
 
 class Configuration(NamedTuple):
-    """Name the members; ``cluster`` tells one founding from another."""
+    """List the members; ``cluster`` is the identifier made at bootstrap."""
 
     cluster: str
     members: tuple[Member, ...]
 
     def find(self, identity: str) -> Member | None:
-        """Give the member with the identity."""
+        """Return the member with the identity, if any."""
         return next(
             (one for one in self.members if one.identity == identity),
             None,
         )
 
     def is_voter(self, identity: str) -> bool:
-        """Tell whether the identity counts in a majority."""
+        """Check whether the identity is that of a voter."""
         member = self.find(identity)
         return member is not None and member.is_voter
 
     def get_quorum_size(self) -> int:
-        """Give how many voters are a majority."""
+        """Return how many voters form a majority."""
         return sum(one.is_voter for one in self.members) // 2 + 1
 
 
 class LogEntry(NamedTuple):
-    """Hold one command at its place; an empty payload changes nothing.
+    """Hold a command at its log index; an empty payload has no effect.
 
-    A ``configuration`` is in force at each replica from the moment that it
-    stands in its log (Ongaro, 2014, section 4.1).
+    A replica uses a ``configuration`` as soon as its own log contains it,
+    committed or not (Ongaro, 2014, section 4.1).
     """
 
     log_index: int
@@ -53,7 +53,7 @@
 
 
 class Snapshot(NamedTuple):
-    """Hold the state after an entry, in place of all up to it."""
+    """Hold the serialized state, which replaces all entries up to an index."""
 
     last_index: int
     last_term: int
@@ -62,7 +62,7 @@
 
 
 class VoteRequest(NamedTuple):
-    """Ask for a vote, or with ``is_pre_vote`` whether one would be given."""
+    """Ask for a vote, or with ``is_pre_vote`` whether it would be granted."""
 
     term: int
     last_index: int
@@ -71,7 +71,7 @@
 
 
 class VoteReply(NamedTuple):
-    """Answer a vote request."""
+    """Grant or refuse a vote."""
 
     term: int
     is_granted: bool
@@ -79,10 +79,10 @@
 
 
 class AppendEntries(NamedTuple):
-    """Replicate entries, and show that the leader lives.
+    """Replicate entries; without any, serve as a heartbeat.
 
-    ``sent_at_s`` is on the leader's clock and comes back in the reply, so
-    that the leader's lease counts from before the follower heard it.
+    ``sent_at_s`` is on the leader's clock and returned in the reply, so that
+    the leader's lease counts from the time of sending.
     """
 
     term: int
@@ -94,9 +94,9 @@
 
 
 class AppendReply(NamedTuple):
-    """Tell how far the follower's synced log agrees with the leader's.
+    """Report up to which index the follower's synced log matches.
 
-    A refusal gives the highest index that may still agree.
+    A rejection gives the highest index that may still match.
     """
 
     term: int
@@ -106,7 +106,7 @@
 
 
 class SnapshotChunk(NamedTuple):
-    """Send one part of a snapshot; the head comes with each part."""
+    """Send a part of a snapshot; the metadata is repeated in each part."""
 
     term: int
     last_index: int
@@ -119,7 +119,7 @@
 
 
 class SnapshotReply(NamedTuple):
-    """Tell how much of a snapshot has arrived."""
+    """Report how much of a snapshot has been received."""
 
     term: int
     last_index: int
@@ -128,18 +128,18 @@
 
 
 class JoinRequest(NamedTuple):
-    """Ask to be taken in, from a folder that belongs to no cluster.
+    """Ask to join a cluster, from a folder that is not a voter of one.
 
-    ``may_found`` is false where the folder replaces a damaged one.
+    ``may_found`` tells whether the folder may help to bootstrap a cluster.
     """
 
     may_found: bool
 
 
 class JoinHint(NamedTuple):
-    """Name the replicas that a folder may ask to be taken in.
+    """List replicas to send join requests to.
 
-    The leader may be one that the settings of a new replica do not name.
+    The settings of a new replica may not name the current leader.
     """
 
     names: tuple[str, ...]
@@ -152,11 +152,11 @@
 
 
 class FoundReply(NamedTuple):
-    """Tell that the first configuration is synced."""
+    """Confirm that the first configuration is accepted and synced."""
 
 
 class RetireRequest(NamedTuple):
-    """Ask a member to give up its folder and to join with a new one."""
+    """Ask a replica to set its folder aside and to join with a new one."""
 
     term: int
 
--- a/src/sardinemast/consensus/_replica.py
+++ b/src/sardinemast/consensus/_replica.py
@@ -1,14 +1,14 @@
-"""One replica of the log, without input or output.
+"""Implement one replica of the log as a state machine without I/O.
 
 The algorithm is Raft (Ongaro and Ousterhout, 2014) with pre-vote and a leader
-lease that counts from the moment a heartbeat was sent.
+lease that counts from the time at which a heartbeat was sent.
 """
 
 from functools import singledispatchmethod
 from random import Random
 
 from sardinemast.consensus._bootstrap import Bootstrap
-from sardinemast.consensus._commit import Commits
+from sardinemast.consensus._commit_tracker import CommitTracker
 from sardinemast.consensus._elections import Elections
 from sardinemast.consensus._events import (
     BatchProposed,
@@ -24,26 +24,26 @@
     SnapshotTaken,
     Tick,
 )
-from sardinemast.consensus._following import Following
+from sardinemast.consensus._follower import Follower
 from sardinemast.consensus._log import ReplicaLog
-from sardinemast.consensus._membership import Membership
+from sardinemast.consensus._message_router import Components, MessageRouter
 from sardinemast.consensus._messages import (
     Configuration,
     LogEntry,
     Member,
     Snapshot,
 )
-from sardinemast.consensus._receiving import Parts, Receiving
+from sardinemast.consensus._reconfiguration import Reconfiguration
 from sardinemast.consensus._replication import Replication
 from sardinemast.consensus._settings import FolderIdentity, ReplicaSettings
 from sardinemast.consensus._state import ReplicaState
 
 
 class Replica:
-    """Decide elections, replication and commit for one replica.
+    """Turn events into outputs for one replica.
 
     Without a folder identity the members are the voters of the settings,
-    under their names, and never change.
+    identified by their names, and never change.
     """
 
     def __init__(
@@ -72,54 +72,54 @@
             log,
             random,
         )
-        self._commits = Commits(self._state)
+        self._commits = CommitTracker(self._state)
         self._elections = Elections(self._state)
-        self._following = Following(self._state, self._commits)
+        self._follower = Follower(self._state, self._commits)
         self._replication = Replication(self._state, self._commits)
         self._bootstrap = Bootstrap(self._state, folder)
-        self._membership = Membership(
+        self._reconfiguration = Reconfiguration(
             self._state,
             self._commits,
             self._replication,
         )
-        self._receiving = Receiving(
+        self._message_router = MessageRouter(
             self._state,
-            Parts(
+            Components(
                 self._elections,
-                self._following,
+                self._follower,
                 self._replication,
                 self._bootstrap,
-                self._membership,
+                self._reconfiguration,
             ),
         )
 
     @property
     def term(self) -> int:
-        """Give the current term."""
+        """Return the current term."""
         return self._state.term
 
     @property
     def role(self) -> Role:
-        """Give what this replica is in its term."""
+        """Return the role of this replica in the current term."""
         return self._state.role
 
     @property
     def leader(self) -> str:
-        """Give the name of the leader, empty where none is known."""
+        """Return the name of the leader, empty if none is known."""
         return self._state.leader
 
     @property
     def commit_index(self) -> int:
-        """Give the index of the newest entry known to be committed."""
+        """Return the index of the newest entry known to be committed."""
         return self._commits.commit_index
 
     @property
     def log(self) -> ReplicaLog:
-        """Give the log, to be read only."""
+        """Return the log; callers must not change it."""
         return self._state.log
 
     def step(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and give the outputs, to be carried out in order."""
+        """Handle an event; return outputs, to be carried out in order."""
         self._state.outputs = []
         if self._state.is_retired:
             return []
@@ -129,31 +129,34 @@
         return self._state.outputs
 
     def get_members(self, now_s: float) -> list[tuple[Member, bool]]:
-        """Give the members, at the leader with whether each is heard."""
-        heard = self._membership.get_heard(now_s)
+        """Return each member and, at the leader, whether it is reachable."""
+        reachable = self._reconfiguration.get_reachable(now_s)
         return [
-            (member, member.identity in heard)
+            (member, member.identity in reachable)
             for member in self.log.configuration.members
         ]
 
     def has_lease(self, now_s: float) -> bool:
-        """Tell whether no other leader can have been elected yet."""
+        """Check whether this replica leads and its lease is valid."""
         return now_s < self.get_lease_until_s(now_s)
 
     def get_lease_until_s(self, now_s: float) -> float:
-        """Give until when no other leader can be elected, at the leader."""
+        """Return when the leader lease ends, minus infinity if not leading."""
         if self.role is not Role.leader:
             return float('-inf')
-        return self._replication.get_heard_s(now_s) + self.settings.lease_s
+        return (
+            self._replication.get_majority_contact_s(now_s)
+            + self.settings.lease_s
+        )
 
     def _start(self, now_s: float) -> None:
-        # Before the restart this replica may have promised a leader its
-        # lease by answering a heartbeat, and the promise was only in memory.
-        # A vote given at once would set up a second leader beside it.
+        # Before the restart this replica may have extended a leader's lease
+        # by answering a heartbeat, which is not stored. Granting a vote at
+        # once could elect a second leader while that lease is valid.
         self._is_started = True
-        self._state.reset_election(now_s)
+        self._state.reset_election_timer(now_s)
         if self.term > 0:
-            self._state.heard_leader_s = now_s
+            self._state.last_leader_contact_s = now_s
 
     @singledispatchmethod
     def _handle(self, event: Event, now_s: float) -> None:
@@ -164,7 +167,7 @@
         self._bootstrap.tick(now_s)
         if self.role is Role.leader:
             self._replication.tick(now_s)
-            self._membership.tick(now_s)
+            self._reconfiguration.tick(now_s)
         elif self._bootstrap.is_active:
             if self._elections.tick(now_s):
                 self._replication.start_term(now_s)
@@ -174,16 +177,16 @@
         self._propose((event,), now_s)
 
     @_handle.register
-    def _handle_proposals(self, event: BatchProposed, now_s: float) -> None:
+    def _handle_batch(self, event: BatchProposed, now_s: float) -> None:
         self._propose(event.proposals, now_s)
 
     @_handle.register
     def _handle_snapshot(self, event: SnapshotTaken, now_s: float) -> None:
-        self._commits.take_snapshot(event)
+        self._commits.replace_by_snapshot(event)
 
     @_handle.register
     def _handle_repair(self, event: RepairRequested, now_s: float) -> None:
-        if self._membership.retire(event.name, now_s):
+        if self._reconfiguration.request_retirement(event.name, now_s):
             self._state.outputs.append(
                 ProposalAccepted(
                     event.proposal_id,
@@ -196,7 +199,7 @@
 
     @_handle.register
     def _handle_received(self, event: MessageReceived, now_s: float) -> None:
-        self._receiving.receive(event, now_s)
+        self._message_router.receive(event, now_s)
 
     def _propose(
         self,
@@ -212,10 +215,10 @@
             now_s,
         )
         self._state.outputs.extend(
-            ProposalAccepted(one.proposal_id, first + place, self.term)
-            for place, one in enumerate(proposals)
+            ProposalAccepted(one.proposal_id, first + offset, self.term)
+            for offset, one in enumerate(proposals)
         )
-        self._replication.count()
+        self._replication.update_commit_index()
 
     def _reject(self, proposal_id: int) -> None:
         self._state.outputs.append(ProposalRejected(proposal_id, self.leader))
--- a/src/sardinemast/consensus/_replication.py
+++ b/src/sardinemast/consensus/_replication.py
@@ -1,8 +1,8 @@
-"""Replicate the leader's log, and count who has heard it."""
+"""Replicate the leader's log and track what members acknowledge."""
 
 from typing import NamedTuple
 
-from sardinemast.consensus._commit import Commits
+from sardinemast.consensus._commit_tracker import CommitTracker
 from sardinemast.consensus._events import Role
 from sardinemast.consensus._messages import (
     AppendEntries,
@@ -17,10 +17,12 @@
 
 
 class Progress(NamedTuple):
-    """Tell how far the leader has brought one member.
+    """Track replication to one member.
 
-    While the place where the logs agree is not known, the member is probed:
-    one message at a time, and ``next_index`` stays.
+    While the index up to which the logs match is unknown, the member is
+    probed: ``next_index`` stays until a reply confirms it. Times are on the
+    leader's clock; ``acknowledged_s`` is when the newest message that the
+    member has answered was sent.
     """
 
     next_index: int
@@ -29,13 +31,13 @@
     is_probing: bool = False
     snapshot_index: int = 0
     sent_bytes: int = 0
-    probed_s: float = float('-inf')
+    last_sent_s: float = float('-inf')
 
 
 class Replication:
-    """Lead: send entries and snapshots, and keep the lease."""
+    """Send entries and snapshots as the leader, and maintain the lease."""
 
-    def __init__(self, state: ReplicaState, commits: Commits) -> None:
+    def __init__(self, state: ReplicaState, commits: CommitTracker) -> None:
         self._state = state
         self._commits = commits
         self._heartbeat_due_s: float = 0
@@ -43,22 +45,22 @@
         self.progress: dict[str, Progress] = {}
 
     def start_term(self, now_s: float) -> None:
-        """Lead from now on."""
+        """Become the leader, and append an empty entry of the new term."""
         state = self._state
-        state.become(Role.leader)
+        state.change_role(Role.leader)
         state.leader = state.settings.name
-        following = Progress(state.log.last_index + 1)
-        self.progress = {peer.identity: following for peer in state.get_peers()}
+        initial = Progress(state.log.last_index + 1)
+        self.progress = {peer.identity: initial for peer in state.get_peers()}
         self.elected_s = now_s
         self.propose(((b'', None),), now_s)
-        self.count()
+        self.update_commit_index()
 
     def propose(
         self,
         payloads: tuple[tuple[bytes, Configuration | None], ...],
         now_s: float,
     ) -> int:
-        """Append entries by one write, and give the first one's index."""
+        """Append entries with one write; return the index of the first."""
         state = self._state
         first = state.log.last_index + 1
         state.append(
@@ -70,42 +72,42 @@
         self._broadcast(now_s)
         return first
 
-    def count(self) -> None:
-        """Commit what a majority holds."""
+    def update_commit_index(self) -> None:
+        """Commit the entries that a majority has synced."""
         matches = {
             identity: one.match_index for identity, one in self.progress.items()
         }
-        self._commits.count(matches)
+        self._commits.commit_by_majority(matches)
 
     def tick(self, now_s: float) -> None:
-        """Send heartbeats, or step down where no majority answers."""
-        # A leader that hears no majority steps down by itself, or it would
-        # go on answering operators from a state that has been replaced.
+        """Send heartbeats, or step down if no majority answers."""
+        # Without answers from a majority, another leader may have been elected
+        # and this one would keep answering operators from stale state.
         timeout_s = self._state.settings.election_timeout_s
-        heard_s = max(self.get_heard_s(now_s), self.elected_s)
-        if now_s >= heard_s + timeout_s:
+        contact_s = max(self.get_majority_contact_s(now_s), self.elected_s)
+        if now_s >= contact_s + timeout_s:
             self._state.become_follower(now_s)
         elif now_s >= self._heartbeat_due_s:
             self._broadcast(now_s)
 
-    def get_heard_s(self, now_s: float) -> float:
-        """Give since when a majority is known to follow."""
-        heard = {
+    def get_majority_contact_s(self, now_s: float) -> float:
+        """Return when the newest message that a majority answered was sent."""
+        contacts = {
             identity: one.acknowledged_s
             for identity, one in self.progress.items()
         }
-        heard[self._state.identity] = now_s
-        return self._state.get_agreed(heard)
+        contacts[self._state.identity] = now_s
+        return self._state.get_majority_value(contacts)
 
-    def has_heard(self, identity: str, now_s: float) -> bool:
-        """Tell whether a member has answered lately."""
+    def is_reachable(self, identity: str, now_s: float) -> bool:
+        """Check whether a member answered within an election timeout."""
         timeout_s = self._state.settings.election_timeout_s
         return now_s < self.get_progress(identity).acknowledged_s + timeout_s
 
     def get_progress(self, identity: str) -> Progress:
-        """Give how far a member is."""
-        following = self._state.log.last_index + 1
-        return self.progress.setdefault(identity, Progress(following))
+        """Return the progress of a member, starting to track it if new."""
+        next_index = self._state.log.last_index + 1
+        return self.progress.setdefault(identity, Progress(next_index))
 
     def receive_reply(
         self,
@@ -113,33 +115,35 @@
         sender: Member,
         now_s: float,
     ) -> None:
-        """Take note of what a member has synced."""
-        if not self._note_heard(message, sender):
+        """Update the progress of a member, and send what it needs next."""
+        if not self._record_contact(message, sender):
             return
-        known = self.get_progress(sender.identity)
+        progress = self.get_progress(sender.identity)
         if message.is_success:
-            match_index = max(known.match_index, message.match_index)
-            self.progress[sender.identity] = known._replace(
+            match_index = max(progress.match_index, message.match_index)
+            self.progress[sender.identity] = progress._replace(
                 match_index=match_index,
                 next_index=(
                     match_index + 1
-                    if known.is_probing
-                    else max(known.next_index, match_index + 1)
+                    if progress.is_probing
+                    else max(progress.next_index, match_index + 1)
                 ),
                 is_probing=False,
                 snapshot_index=0,
             )
-            self.count()
-            self._send_more(sender, now_s, was_probing=known.is_probing)
+            self.update_commit_index()
+            self._send_next_batch(
+                sender, now_s, was_probing=progress.is_probing
+            )
             return
-        # A refusal that comes late or twice must move nothing: answered with
-        # entries each time, refusals in flight would keep each other alive,
-        # and the member would never be brought back to where it agrees.
-        refused_to = max(known.match_index, message.match_index) + 1
-        if known.is_probing and refused_to >= known.next_index:
+        # A late or repeated rejection is ignored. If each one were answered
+        # with entries, the rejections in flight would multiply, and the probe
+        # would never get back to the index at which the logs match.
+        retry_index = max(progress.match_index, message.match_index) + 1
+        if progress.is_probing and retry_index >= progress.next_index:
             return
-        self.progress[sender.identity] = known._replace(
-            next_index=min(known.next_index, refused_to),
+        self.progress[sender.identity] = progress._replace(
+            next_index=min(progress.next_index, retry_index),
             is_probing=True,
         )
         self._replicate(sender, now_s)
@@ -150,19 +154,19 @@
         sender: Member,
         now_s: float,
     ) -> None:
-        """Send the next part of a snapshot."""
-        if not self._note_heard(message, sender):
+        """Send the next chunk of a snapshot."""
+        if not self._record_contact(message, sender):
             return
-        known = self.get_progress(sender.identity)
-        if message.last_index != known.snapshot_index:
+        progress = self.get_progress(sender.identity)
+        if message.last_index != progress.snapshot_index:
             return
-        if message.received_bytes != known.sent_bytes:
-            self.progress[sender.identity] = known._replace(
+        if message.received_bytes != progress.sent_bytes:
+            self.progress[sender.identity] = progress._replace(
                 sent_bytes=message.received_bytes,
             )
             self._replicate(sender, now_s)
 
-    def _note_heard(
+    def _record_contact(
         self,
         message: AppendReply | SnapshotReply,
         sender: Member,
@@ -170,67 +174,69 @@
         state = self._state
         if state.role is not Role.leader or message.term != state.term:
             return False
-        known = self.get_progress(sender.identity)
-        self.progress[sender.identity] = known._replace(
-            acknowledged_s=max(message.sent_at_s, known.acknowledged_s),
+        progress = self.get_progress(sender.identity)
+        self.progress[sender.identity] = progress._replace(
+            acknowledged_s=max(message.sent_at_s, progress.acknowledged_s),
         )
         return True
 
     def _broadcast(self, now_s: float) -> None:
         self._heartbeat_due_s = now_s + self._state.settings.heartbeat_s
         for peer in self._state.get_peers():
-            if self._is_probe_due(peer, now_s):
+            if self._is_send_due(peer, now_s):
                 self._replicate(peer, now_s)
 
-    def _is_probe_due(self, peer: Member, now_s: float) -> bool:
-        # A probe and a part of a snapshot may be a megabyte, and are the same
-        # until they are answered. Sent with each proposal, a hundred times a
-        # second, they would fill the links and the memory of both ends.
-        known = self.get_progress(peer.identity)
-        has_snapshot = known.next_index <= self._state.log.base_index
-        if not (known.is_probing or has_snapshot):
+    def _is_send_due(self, peer: Member, now_s: float) -> bool:
+        # Probes and snapshot chunks may be large, and stay the same until they
+        # are answered. They are repeated once per heartbeat; repeating them
+        # with each proposal would fill the links and the memory of both ends.
+        progress = self.get_progress(peer.identity)
+        needs_snapshot = progress.next_index <= self._state.log.base_index
+        if not (progress.is_probing or needs_snapshot):
             return True
-        return now_s >= known.probed_s + self._state.settings.heartbeat_s
+        return now_s >= progress.last_sent_s + self._state.settings.heartbeat_s
 
-    def _send_more(
+    def _send_next_batch(
         self,
         peer: Member,
         now_s: float,
         *,
         was_probing: bool,
     ) -> None:
-        # One that is far behind gets the next batch at once; waiting for the
-        # heartbeat would bring it one batch nearer each tenth of a second.
-        known = self.get_progress(peer.identity)
-        behind = self._state.log.last_index + 1 - known.next_index
-        if behind > 0 and (was_probing or self._is_idle(known)):
+        # A member that lags gets the next batch at once, or it would receive
+        # no more than one batch per heartbeat.
+        progress = self.get_progress(peer.identity)
+        missing_count = self._state.log.last_index + 1 - progress.next_index
+        if missing_count > 0 and (
+            was_probing or self._has_none_in_flight(progress)
+        ):
             self._replicate(peer, now_s)
 
-    def _is_idle(self, known: Progress) -> bool:
-        return known.next_index == known.match_index + 1
+    def _has_none_in_flight(self, progress: Progress) -> bool:
+        return progress.next_index == progress.match_index + 1
 
     def _replicate(self, peer: Member, now_s: float) -> None:
-        known = self.get_progress(peer.identity)._replace(probed_s=now_s)
-        self.progress[peer.identity] = known
+        progress = self.get_progress(peer.identity)._replace(last_sent_s=now_s)
+        self.progress[peer.identity] = progress
         log = self._state.log
-        if known.next_index <= log.base_index:
+        if progress.next_index <= log.base_index:
             self._send_chunk(peer, now_s)
             return
         entries = log.get_range(
-            known.next_index,
+            progress.next_index,
             self._state.settings.batch_entries,
             self._state.settings.batch_bytes,
         )
-        # The next index moves on at once, so that proposals in flight are
-        # not sent again with every new one; a refusal moves it back.
-        if not known.is_probing:
-            self.progress[peer.identity] = known._replace(
-                next_index=known.next_index + len(entries),
+        # The next index advances before the reply, so that entries in flight
+        # are not sent again; a rejection moves it back.
+        if not progress.is_probing:
+            self.progress[peer.identity] = progress._replace(
+                next_index=progress.next_index + len(entries),
             )
         message = AppendEntries(
             self._state.term,
-            known.next_index - 1,
-            log.get_term(known.next_index - 1) or 0,
+            progress.next_index - 1,
+            log.get_term(progress.next_index - 1) or 0,
             entries,
             self._commits.commit_index,
             now_s,
@@ -239,21 +245,21 @@
 
     def _send_chunk(self, peer: Member, now_s: float) -> None:
         snapshot = self._state.log.snapshot
-        known = self.get_progress(peer.identity)
-        if known.snapshot_index != snapshot.last_index:
-            known = known._replace(
+        progress = self.get_progress(peer.identity)
+        if progress.snapshot_index != snapshot.last_index:
+            progress = progress._replace(
                 snapshot_index=snapshot.last_index,
                 sent_bytes=0,
             )
-            self.progress[peer.identity] = known
-        end = known.sent_bytes + self._state.settings.chunk_bytes
+            self.progress[peer.identity] = progress
+        end = progress.sent_bytes + self._state.settings.chunk_bytes
         message = SnapshotChunk(
             self._state.term,
             snapshot.last_index,
             snapshot.last_term,
             snapshot.configuration,
-            known.sent_bytes,
-            snapshot.image[known.sent_bytes : end],
+            progress.sent_bytes,
+            snapshot.image[progress.sent_bytes : end],
             end >= len(snapshot.image),
             now_s,
         )
--- a/src/sardinemast/consensus/_routed_messages.py
+++ b/src/sardinemast/consensus/_routed_messages.py
@@ -1,4 +1,4 @@
-"""Messages between replicas as plain values, with their route."""
+"""Pack and unpack messages between replicas with their route."""
 
 from typing import Any
 
@@ -10,13 +10,13 @@
 
 
 def pack_routed_message(output: SendMessage) -> list[Any]:
-    """Give route and message as plain values."""
+    """Return route and message as plain values."""
     return [dump_plain(output.route), MESSAGES.pack(output.message)]
 
 
 def unpack_routed_message(sender: str, plain: Any) -> MessageReceived:
-    """Build the event for the receiver, or raise ``WireError``."""
+    """Return the event for the receiver, or raise ``WireError``."""
     if not isinstance(plain, list) or len(plain) != _PARTS:
-        raise WireError('wire.E002', 'A parcel is a route and a message.')
+        raise WireError('wire.E002', 'Expected a list of route and message.')
     route = load_plain(Route, plain[0])
     return MessageReceived(sender, MESSAGES.unpack(plain[1]), route)
--- a/src/sardinemast/consensus/_settings.py
+++ b/src/sardinemast/consensus/_settings.py
@@ -1,4 +1,4 @@
-"""Names and times of one replica."""
+"""Define the settings and the folder identity of a replica."""
 
 from typing import NamedTuple
 
@@ -7,19 +7,19 @@
 
 
 class ReplicaSettings(NamedTuple):
-    """Name the replicas and set the times.
-
-    With ``voters_max`` the voters of the settings only found the cluster.
-    Replicas of any name may join it, up to that many become voters, and one
-    that nobody has heard for ``replace_after_s`` gives its place to a replica
-    that waits for one: longer than a restart or a lost word, short enough
-    that a second loss seldom comes before.
-
-    ``lease_s`` is shorter than the shortest election timeout, so that a new
-    leader cannot be elected while the old one still trusts its lease. The
-    quotient bounds how far the rates of two clocks may lie apart. Entries and
-    chunks in one message are bounded, since a frame of more than
-    ``wire.MAX_FRAME_BYTES`` breaks the stream each time it is sent again.
+    """Hold the voters, timeouts and size limits of a replica.
+
+    If ``voters_max`` is set, ``voters`` only bootstrap the cluster: replicas
+    of any name may join, and up to ``voters_max`` become voters. A voter that
+    has not answered the leader for ``replace_after_s`` is replaced by a waiting
+    learner. That is longer than a restart, and short enough to make a second
+    failure before the replacement unlikely.
+
+    ``lease_s`` is shorter than the shortest election timeout, so that no new
+    leader is elected while the old one trusts its lease. Their ratio bounds
+    how much the rates of two clocks may differ. Batches and chunks are bounded
+    because a frame of more than ``wire.MAX_FRAME_BYTES`` breaks the stream
+    each time it is sent.
     """
 
     name: str
@@ -38,8 +38,9 @@
 class FolderIdentity(NamedTuple):
     """Identify one data folder.
 
-    ``may_found`` is false for a folder that replaces a damaged one: three of
-    them must not found an empty cluster as if there had been nothing.
+    ``may_found`` tells whether the folder may bootstrap a cluster. It is false
+    for a folder that replaces another one, so that replicas which all lost
+    their data do not start an empty cluster.
     """
 
     identity: str
--- a/src/sardinemast/consensus/_state.py
+++ b/src/sardinemast/consensus/_state.py
@@ -1,4 +1,4 @@
-"""State that the parts of a replica share."""
+"""Hold the state that the components of a replica share."""
 
 from random import Random
 
@@ -18,7 +18,7 @@
 
 
 class ReplicaState:
-    """Hold role, term, log and timers, and collect the outputs of a step."""
+    """Hold role, term, log and timers, and collect outputs of a step."""
 
     def __init__(
         self,
@@ -37,36 +37,36 @@
         self.is_retired = False
         self.outputs: list[Output] = []
         self.election_due_s = float('inf')
-        self.heard_leader_s = float('-inf')
+        self.last_leader_contact_s = float('-inf')
         self._random = random
-        self._heard_cluster = ''
+        self._joining_cluster = ''
 
     @property
     def term(self) -> int:
-        """Give the current term."""
+        """Return the current term."""
         return self.hard_state.term
 
     @property
     def cluster(self) -> str:
-        """Give the cluster that this folder belongs to or is joining."""
-        return self.log.configuration.cluster or self._heard_cluster
+        """Return the cluster that this folder belongs to or is joining."""
+        return self.log.configuration.cluster or self._joining_cluster
 
     def join_cluster(self, cluster: str) -> None:
-        """Take the cluster of a leader that sends to this empty folder."""
-        self._heard_cluster = cluster
+        """Record the cluster that the sending leader belongs to."""
+        self._joining_cluster = cluster
 
     @property
     def is_voter(self) -> bool:
-        """Tell whether this replica counts in a majority."""
+        """Check whether this replica is a voter."""
         return self.log.configuration.is_voter(self.identity)
 
     @property
     def has_fixed_members(self) -> bool:
-        """Tell whether replicas run under their names, without identities."""
+        """Check whether members are identified by name and never change."""
         return self.identity == self.settings.name
 
     def get_peers(self) -> list[Member]:
-        """Give all other members."""
+        """Return all other members."""
         return [
             member
             for member in self.log.configuration.members
@@ -74,61 +74,62 @@
         ]
 
     def has_quorum(self, identities: set[str]) -> bool:
-        """Tell whether a majority of the voters is among the identities."""
+        """Check whether the identities include a majority of the voters."""
         configuration = self.log.configuration
         found = sum(map(configuration.is_voter, identities))
         return found >= configuration.get_quorum_size()
 
-    def get_agreed(self, figures: dict[str, float]) -> float:
-        """Give the highest figure that a majority of voters has reached."""
+    def get_majority_value(self, values: dict[str, float]) -> float:
+        """Return the highest value that a majority of voters has reached."""
         never = float('-inf')
         configuration = self.log.configuration
-        reached = [
-            figures.get(member.identity, never)
+        voter_values = [
+            values.get(member.identity, never)
             for member in configuration.members
             if member.is_voter
         ]
-        reached.sort(reverse=True)
-        return reached[len(reached) // 2]
+        voter_values.sort(reverse=True)
+        return voter_values[len(voter_values) // 2]
 
-    def is_settled(self, now_s: float) -> bool:
-        """Tell whether a leader that may trust its lease was heard."""
+    def has_live_leader(self, now_s: float) -> bool:
+        """Check whether this replica leads or heard a leader lately."""
         timeout_s = self.settings.election_timeout_s
         return (
-            self.role is Role.leader or now_s < self.heard_leader_s + timeout_s
+            self.role is Role.leader
+            or now_s < self.last_leader_contact_s + timeout_s
         )
 
-    def save(self, hard_state: HardState) -> None:
-        """Take a term and vote, synced before what follows."""
+    def save_hard_state(self, hard_state: HardState) -> None:
+        """Set term and vote, synced before later outputs."""
         self.hard_state = hard_state
         self.outputs.append(SaveHardState(hard_state))
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
-        """Put entries into the log, synced before what follows."""
-        fresh = self.log.put(entries)
-        if fresh:
-            self.outputs.append(AppendToLog(fresh))
+        """Merge entries into the log, synced before later outputs."""
+        added = self.log.merge(entries)
+        if added:
+            self.outputs.append(AppendToLog(added))
 
     def send(self, to: Member, message: Message) -> None:
-        """Send a message to a member's folder."""
+        """Send a message to the folder of a member."""
         route = Route()
         if not self.has_fixed_members:
             route = Route(self.identity, to.identity, self.cluster)
         self.outputs.append(SendMessage(to.name, message, route))
 
-    def become(self, role: Role) -> None:
-        """Take a role, and tell where it is another one."""
+    def change_role(self, role: Role) -> None:
+        """Set the role, and output a change of it."""
         if role is not self.role:
             self.role = role
             self.outputs.append(RoleChanged(role, self.term))
 
     def become_follower(self, now_s: float) -> None:
-        """Follow, with no leader known yet."""
-        self.become(Role.follower)
+        """Become a follower without a known leader."""
+        self.change_role(Role.follower)
         self.leader = ''
-        self.reset_election(now_s)
+        self.reset_election_timer(now_s)
 
-    def reset_election(self, now_s: float) -> None:
-        """Wait for a random time before the next election."""
-        spread = 1 + self._random.random()
-        self.election_due_s = now_s + self.settings.election_timeout_s * spread
+    def reset_election_timer(self, now_s: float) -> None:
+        """Schedule the next election after a random timeout."""
+        jitter = 1 + self._random.random()
+        self.election_due_s = now_s + self.settings.election_timeout_s * jitter
--- a/tests/consensus/test_elections.py
+++ b/tests/consensus/test_elections.py
@@ -1,4 +1,4 @@
-"""Votes asked of replicas that hear a leader."""
+"""Test how replicas answer vote requests."""
 
 from random import Random
 
@@ -21,12 +21,10 @@
 _NAMES = ('control-1', 'control-2', 'control-3')
 
 
-def test_settled_voter_keeps_its_term() -> None:
-    """Keep the leader's term when asked for a vote in a later one.
+def test_vote_request_keeps_term_while_leader_is_live() -> None:
+    """Keep the current term when a candidate that lost the leader asks.
 
-    A replica that no longer hears the leader asks for votes. A follower that
-    took over its term would refuse the next heartbeat, the leader would step
-    down, and operators would wait for an election that nobody needs.
+    A follower that adopted the higher term would depose a healthy leader.
     """
     settings = ReplicaSettings('control-1', _NAMES)
     replica = Replica(settings, HardState(), (), Random(1))
@@ -37,12 +35,11 @@
     assert replica.term == 1
 
 
-def test_learner_votes_when_asked() -> None:
-    """Vote, though the entry that makes this replica a voter is not here.
+def test_learner_grants_vote() -> None:
+    """Grant a vote before the entry that makes this replica a voter arrives.
 
-    A leader adds a voter and dies before the voter itself has the entry. The
-    others have it, so that they need this vote for their majority. Were it
-    refused, nobody could ever lead again.
+    The other members may need this vote for a majority, and could otherwise
+    never elect a leader.
     """
     members = (
         Member('first', 'control-1', is_voter=False),
--- a/tests/consensus/test_identities.py
+++ b/tests/consensus/test_folder_replacement.py
@@ -1,4 +1,4 @@
-"""Data folders that are lost, replaced, and come back."""
+"""Test lost, replaced and restored data folders."""
 
 import pytest
 
@@ -14,12 +14,10 @@
 )
 
 
-def test_second_loss_after_a_repair_forgets_nothing() -> None:
-    """Keep what was acknowledged when two folders are lost in turn.
+def test_losing_folders_in_turn_keeps_acknowledged_commands() -> None:
+    """Keep acknowledged commands when each folder is lost after a repair.
 
-    A replica is repaired, and right after that another one loses its disk. If
-    the first had counted before it held everything, a command that an operator
-    was told is accepted would now be gone.
+    A replacement that became a voter before it caught up would lose them.
     """
     cluster = Cluster(3)
     cluster.run(50)
@@ -33,28 +31,26 @@
     assert known.items() <= cluster.committed.items()
 
 
-def test_folder_that_returns_retires() -> None:
-    """Have a folder that was replaced join anew when it comes back.
+def test_replaced_folder_is_retired_when_restored() -> None:
+    """Retire a replaced folder that an operator moves back.
 
-    An operator moves a folder away, lets the replica be repaired, and then
-    moves the old one back. It still names itself a voter, and must not act as
-    one.
+    Its own configuration still lists it as a voter, but it must not act as one.
     """
     cluster = Cluster(3)
     cluster.run(50)
     node = next(filter(is_no_leader, cluster.nodes.values()))
-    moved = node.disk
+    replaced_disk = node.disk
     node.lose_folder(may_found=True)
     cluster.settle()
     node.crash()
-    node.disk = moved
+    node.disk = replaced_disk
     node.start()
     cluster.settle()
-    assert node.disk.folder.identity != moved.folder.identity
+    assert node.disk.folder.identity != replaced_disk.folder.identity
 
 
-def test_unnamed_folder_gets_no_vote() -> None:
-    """Refuse a vote to a folder that the configuration does not name."""
+def test_non_member_gets_no_vote() -> None:
+    """Ignore a vote request from a folder outside the configuration."""
     cluster = Cluster(3)
     cluster.run(50)
     node = next(filter(is_no_leader, cluster.nodes.values()))
@@ -74,10 +70,9 @@
 
 
 def test_repair_without_a_majority_is_refused() -> None:
-    """Refuse to replace a folder while another replica is down.
+    """Reject a repair while another replica is down.
 
-    An operator doubts a disk while a second replica is off. Without both there
-    would be no majority, and nothing could be accepted any more.
+    Without both replicas there would be no majority.
     """
     cluster = Cluster(3)
     cluster.run(50)
@@ -91,12 +86,11 @@
 
 
 @pytest.mark.parametrize('steps', range(20))
-def test_same_folder_lost_twice(steps: int) -> None:
-    """Repair a replica whose new disk fails too, at any moment.
+def test_replacement_folder_is_lost_too(steps: int) -> None:
+    """Recover when the replacement folder is lost at any step of a repair.
 
-    The second loss comes while the first is being repaired. Were the lost
-    folder to become a voter beside the one that it replaces, the two that are
-    left would be no majority, and nobody could ever lead again.
+    If it became a voter before the old folder was removed, the remaining two
+    replicas would be no majority.
     """
     cluster = Cluster(3)
     cluster.run(50)
--- a/tests/consensus/test_open_cluster.py
+++ b/tests/consensus/test_joining.py
@@ -1,86 +1,84 @@
-"""Clusters that replicas of any name may join."""
+"""Test clusters that replicas of any name may join."""
 
 from builders.replicas import Cluster, is_no_leader
 from sardinemast.consensus import AppendEntries, CommandProposed, SendMessage
 
-_LONG = 100
+_CONVERGENCE_STEPS = 100
 _PADDING = b'x' * 64
 
 
-def _make_open(voters_max: int) -> Cluster:
+def _make_open_cluster(voters_max: int) -> Cluster:
     cluster = Cluster(3)
     cluster.open(voters_max)
     cluster.run(50)
     return cluster
 
 
-def test_replicas_join_up_to_the_number_of_voters() -> None:
-    """Three founders know nobody else; two more come and then a third.
+def test_joining_replicas_become_voters_up_to_the_maximum() -> None:
+    """Promote joining replicas until there are five voters.
 
-    Five voters bear two losses at once. A sixth would make it no better, and
-    stays a learner until it is needed.
+    A sixth voter would not let the cluster tolerate more failures.
     """
-    cluster = _make_open(5)
+    cluster = _make_open_cluster(5)
     for number in (4, 5, 6):
         cluster.add(f'control-{number}', 5)
-        cluster.run(_LONG)
+        cluster.run(_CONVERGENCE_STEPS)
     assert len(cluster.get_voters()) == 5
     assert {'control-4', 'control-5'} <= cluster.get_voters()
 
 
-def test_new_replica_takes_the_place_of_one_that_is_gone() -> None:
-    """A machine is removed for good, and another comes at a new address.
+def test_new_replica_replaces_unreachable_voter() -> None:
+    """Replace a voter that is gone for good by one with another name.
 
-    As long as the lost one counts as a voter, the cluster bears one loss less
-    than it should.
+    While the lost one counts as a voter, the cluster tolerates one failure
+    less than configured.
     """
-    cluster = _make_open(3)
-    gone = next(filter(is_no_leader, cluster.nodes.values()))
-    cluster.nodes.pop(gone.name)
+    cluster = _make_open_cluster(3)
+    removed = next(filter(is_no_leader, cluster.nodes.values()))
+    cluster.nodes.pop(removed.name)
     cluster.bag.clear()
     cluster.add('control-9', 3)
-    for _ in range(_LONG):
+    for _ in range(_CONVERGENCE_STEPS):
         cluster.tick()
         cluster.bag = [one for one in cluster.bag if one.to in cluster.nodes]
         cluster.deliver_all()
-    assert gone.name not in cluster.get_voters()
+    assert removed.name not in cluster.get_voters()
     assert 'control-9' in cluster.get_voters()
     assert len(cluster.get_voters()) == 3
 
 
-def test_replica_that_is_heard_keeps_its_place() -> None:
-    """A replica waits for a place while all voters are well."""
-    cluster = _make_open(3)
+def test_reachable_voter_is_not_replaced() -> None:
+    """Keep a new replica a learner while all voters are reachable."""
+    cluster = _make_open_cluster(3)
     before = cluster.get_voters()
     cluster.add('control-9', 3)
-    cluster.run(_LONG)
+    cluster.run(_CONVERGENCE_STEPS)
     assert cluster.get_voters() == before
 
 
-def test_new_replica_finds_a_leader_that_its_settings_do_not_name() -> None:
-    """The leader came later than the founders, which all follow it."""
-    cluster = _make_open(5)
+def test_new_replica_finds_leader_missing_from_its_settings() -> None:
+    """Join through the original voters while a later replica leads."""
+    cluster = _make_open_cluster(5)
     cluster.add('control-4', 5)
-    cluster.run(_LONG)
+    cluster.run(_CONVERGENCE_STEPS)
     for name in cluster.names:
         cluster.nodes[name].frozen_until_s = cluster.true_s + 3
     cluster.run(10)
     for name in cluster.names:
         cluster.nodes[name].frozen_until_s = 0
-    cluster.run(_LONG)
+    cluster.run(_CONVERGENCE_STEPS)
     cluster.add('control-5', 5)
-    cluster.run(_LONG)
+    cluster.run(_CONVERGENCE_STEPS)
     assert 'control-5' in cluster.get_voters()
 
 
-def test_probe_is_not_sent_with_each_proposal() -> None:
-    """A follower lost its log's tail and is asked where it agrees.
+def test_probe_is_not_repeated_with_each_proposal() -> None:
+    """Probe a follower that lost the end of its log once per heartbeat.
 
-    Each question may carry a megabyte. With a hundred proposals a second
-    they would fill the link to a follower that stands still, and the memory
-    of both ends.
+    Probes carry entries, and repeating them with each proposal would fill the
+    link to a stalled follower and the memory of both ends.
     """
-    cluster = _make_open(3)
+    cluster = _make_open_cluster(3)
     leader = next(
         one for one in cluster.nodes.values() if not is_no_leader(one)
     )
--- a/tests/consensus/test_replica_fuzz.py
+++ b/tests/consensus/test_replica_fuzz.py
@@ -1,4 +1,4 @@
-"""Histories of replicas with crashes, lost messages, cuts and freezes."""
+"""Fuzz replicas with crashes, lost messages, partitions and freezes."""
 
 import pytest
 from hypothesis import settings
@@ -14,13 +14,13 @@
 
 pytestmark = pytest.mark.fuzz
 _NODES = st.integers(0, 4)
-_PLACES = st.integers(0, 40)
+_POSITIONS = st.integers(0, 40)
 
 
 class Elections(RuleBasedStateMachine):
-    """Three replicas whose network and hosts fail.
+    """Run three replicas with network and process failures.
 
-    Their clocks run at rates up to a tenth apart.
+    The rates of their clocks differ by up to a tenth.
     """
 
     count = 3
@@ -31,19 +31,19 @@
         self.cluster = Cluster(self.count, self.rates)
 
     @initialize(steps=st.sampled_from((ELECTION_STEPS, 0, 5)))
-    def found(self, steps: int) -> None:
-        """Found the cluster, in whole or in part."""
+    def bootstrap(self, steps: int) -> None:
+        """Bootstrap the cluster, completely or partly."""
         self.cluster.run(steps)
         self.cluster.propose()
 
     def pick(self, number: int) -> Node:
-        """Give the leader for 0, and the others in their order."""
+        """Return the leader for 0, and the other nodes for other numbers."""
         nodes = sorted(self.cluster.nodes.values(), key=is_no_leader)
         return nodes[number % self.count]
 
     @rule(steps=st.integers(1, 20))
-    def run_undisturbed(self, steps: int) -> None:
-        """Let time pass."""
+    def run_without_faults(self, steps: int) -> None:
+        """Let time pass and deliver all messages."""
         self.cluster.run(steps)
 
     @rule(
@@ -52,7 +52,7 @@
         is_one_way=st.booleans(),
     )
     def cut(self, sender: int, distance: int, is_one_way: bool) -> None:
-        """Drop all that one replica sends another, silently."""
+        """Drop messages between two replicas, in one or both directions."""
         pair = (self.pick(sender).name, self.pick(sender + distance).name)
         self.cluster.cuts.add(pair)
         if not is_one_way:
@@ -60,14 +60,14 @@
 
     @rule(number=_NODES)
     def isolate(self, number: int) -> None:
-        """Drop all between one replica and the others."""
+        """Drop all messages between one replica and the others."""
         name = self.pick(number).name
         for other in self.cluster.names:
             self.cluster.cuts.update(((name, other), (other, name)))
 
     @rule(number=_NODES)
     def reboot(self, number: int) -> None:
-        """Restart a replica that then no longer hears the leader."""
+        """Restart a replica and cut it off from the leader."""
         node = self.pick(number)
         self.cluster.cuts.add((self.pick(0).name, node.name))
         node.crash()
@@ -75,16 +75,16 @@
 
     @rule()
     def heal(self) -> None:
-        """End all cuts."""
+        """Restore all connections."""
         self.cluster.cuts.clear()
 
     def teardown(self) -> None:
-        """Check that the replicas serve again once all is mended."""
+        """Check that the replicas serve again after all faults end."""
         self.cluster.settle()
 
 
 class Folders(Elections):
-    """Three replicas that also lose their folders."""
+    """Run three replicas that also lose their folders."""
 
     @rule()
     def propose(self) -> None:
@@ -104,72 +104,72 @@
 
     @rule(number=_NODES)
     def ask_repair(self, number: int) -> None:
-        """Let an operator ask for a repair."""
+        """Request the repair of a replica."""
         node = self.pick(number)
         if self.cluster.may_lose(node):
             self.cluster.ask_repair(node.name)
 
     @rule(number=_NODES, steps=st.integers(1, 30))
     def freeze(self, number: int, steps: int) -> None:
-        """Stop a process for up to longer than a lease."""
+        """Freeze a process, possibly for longer than a lease."""
         node = self.pick(number)
         node.frozen_until_s = self.cluster.true_s + steps * 0.04
 
     @rule(number=_NODES)
     def restart(self, number: int) -> None:
-        """Start a process again, or crash and start it."""
+        """Crash a process if it runs, and start it."""
         node = self.pick(number)
         node.crash()
         node.start()
 
 
 class ThreeReplicas(Folders):
-    """Three replicas, with all faults and messages out of turn."""
+    """Run three replicas with all faults and reordered messages."""
 
     @rule()
     def tick(self) -> None:
-        """Let time pass without delivery."""
+        """Let time pass without delivering messages."""
         self.cluster.tick()
 
     @precondition(lambda machine: machine.cluster.bag)
-    @rule(place=_PLACES)
-    def deliver(self, place: int) -> None:
-        """Deliver a message out of turn."""
-        self.cluster.deliver(place % len(self.cluster.bag))
+    @rule(position=_POSITIONS)
+    def deliver(self, position: int) -> None:
+        """Deliver a message out of order."""
+        self.cluster.deliver(position % len(self.cluster.bag))
 
     @precondition(lambda machine: machine.cluster.bag)
-    @rule(place=_PLACES)
-    def duplicate(self, place: int) -> None:
-        """Deliver a message and keep it for later."""
+    @rule(position=_POSITIONS)
+    def duplicate(self, position: int) -> None:
+        """Deliver a message and keep a copy to deliver later."""
         bag = self.cluster.bag
-        bag.append(bag[place % len(bag)])
-        self.cluster.deliver(place % len(bag))
+        bag.append(bag[position % len(bag)])
+        self.cluster.deliver(position % len(bag))
 
     @precondition(lambda machine: machine.cluster.bag)
-    @rule(place=_PLACES)
-    def drop(self, place: int) -> None:
-        """Lose a message."""
-        del self.cluster.bag[place % len(self.cluster.bag)]
+    @rule(position=_POSITIONS)
+    def drop(self, position: int) -> None:
+        """Drop a message."""
+        del self.cluster.bag[position % len(self.cluster.bag)]
 
     @rule(number=_NODES, outputs=st.integers(0, 12))
     def kill(self, number: int, outputs: int) -> None:
-        """Kill a process between two outputs that are yet to come."""
+        """Kill a process between two of its next outputs."""
         node = self.pick(number)
         node.kill_in = outputs
 
     @rule(number=_NODES)
     def take_snapshot(self, number: int) -> None:
-        """Replace what a replica has applied by a snapshot."""
+        """Take a snapshot of what a replica has applied."""
         self.cluster.snapshot(self.pick(number))
 
 
 class FiveReplicas(ThreeReplicas):
-    """Five replicas."""
+    """Run five replicas."""
 
     count = 5
 
 
-# A soak asks for more histories by its profile.
+# A Hypothesis profile may ask for more examples, as in a soak test.
 _SETTINGS = settings(
     max_examples=max(2000, settings().max_examples),
     stateful_step_count=30,
--- a/tests/consensus/test_replication.py
+++ b/tests/consensus/test_replication.py
@@ -1,4 +1,4 @@
-"""Followers whose log must be brought back to the leader's."""
+"""Test that followers catch up with the leader's log."""
 
 from builders.replicas import BATCH_BYTES, Cluster, is_no_leader
 from sardinemast.consensus import (
@@ -9,13 +9,10 @@
 
 
 def test_conflicting_entry_is_replaced() -> None:
-    """Bring a follower back whose newest entry was never committed.
+    """Replace an uncommitted entry of a deposed leader at a follower.
 
-    A follower took an entry from a leader that was deposed before anybody
-    else had it. The new leader must go back behind that entry. If each
-    refusal only makes it send the same entries again, the follower never
-    catches up, and messages between the two multiply until both are busy
-    with nothing else.
+    A leader that answered each rejection with the same entries would never
+    reach the matching index, and messages would multiply.
     """
     cluster = Cluster(3)
     cluster.run(50)
@@ -24,18 +21,17 @@
     for _ in range(12):
         cluster.propose()
         cluster.run(1)
-    place = follower.disk.entries[-1].log_index + 1
-    follower.disk.append((LogEntry(place, 0, b'lost'),))
+    next_index = follower.disk.entries[-1].log_index + 1
+    follower.disk.append((LogEntry(next_index, 0, b'lost'),))
     follower.start()
     cluster.settle()
     assert len(cluster.bag) < 10
 
 
-def test_far_follower_gets_the_snapshot() -> None:
-    """Bring a follower back by a snapshot, in bounded parts.
+def test_lagging_follower_gets_the_snapshot() -> None:
+    """Send a snapshot in chunks to a follower whose entries are dropped.
 
-    A replica was off while the leader dropped the entries that it lacks. It
-    can only come back by the whole state, which is larger than a message.
+    The state may be larger than a single message.
     """
     cluster = Cluster(3)
     cluster.run(50)
@@ -52,11 +48,11 @@
     assert follower.image == leader.image
 
 
-def test_large_entries_go_in_bounded_messages() -> None:
-    """Bring a follower back with entries that fill more than a frame.
+def test_large_entries_are_sent_in_bounded_messages() -> None:
+    """Split entries that exceed the size of a message.
 
-    Large files were accepted while a replica was off. Sent at once they break
-    the stream each time, and the replica never comes back.
+    A frame that is too large breaks the stream each time, and the follower
+    would never catch up.
     """
     cluster = Cluster(3)
     cluster.run(50)
--- a/tests/consensus/test_restarts.py
+++ b/tests/consensus/test_restarts.py
@@ -1,16 +1,14 @@
-"""A replica that starts again while a leader trusts its lease."""
+"""Test replicas that restart while a leader holds a lease."""
 
 from builders.replicas import Cluster
 from sardinemast.consensus import Role, VoteRequest
 
 
-def test_restart_keeps_the_lease() -> None:
-    """Refuse to depose a leader right after a restart.
+def test_restarted_follower_respects_leader_lease() -> None:
+    """Refuse a vote right after a restart.
 
-    A follower answers a heartbeat, crashes and is back at once, while a
-    replica that no longer hears the leader asks for votes. If the follower
-    votes at once, two leaders answer operators, and the old one from a state
-    that has been replaced.
+    The follower answered a heartbeat before it crashed. If it voted at once,
+    a second leader could serve while the first one's lease is valid.
     """
     cluster = Cluster(3)
     cluster.run(50)
@@ -19,10 +17,10 @@
         for node in cluster.nodes.values()
         if node.replica and node.replica.role is Role.leader
     )
-    lonely, voter = (
+    isolated, voter = (
         node for node in cluster.nodes.values() if node is not leader
     )
-    cluster.cuts.add((leader.name, lonely.name))
+    cluster.cuts.add((leader.name, isolated.name))
     while not any(isinstance(one.message, VoteRequest) for one in cluster.bag):
         cluster.deliver_all()
         cluster.tick()
@@ -31,4 +29,4 @@
     cluster.cuts.add((leader.name, voter.name))
     cluster.run(6)
     assert voter.replica
-    assert voter.replica.leader != lonely.name
+    assert voter.replica.leader != isolated.name
