--- a/src/sardinemast/control/_call_desk.py
+++ b/src/sardinemast/control/_call_desk.py
@@ -11,13 +11,13 @@
     Command,
     JobsState,
     JobState,
+    MaintenanceStatus,
     Queue,
-    UpkeepStatus,
     Worker,
     check_catalog,
     commands,
 )
-from sardinemast.jobs.queries import count_waiting, find_queue, find_team
+from sardinemast.jobs.queries import count_queued_jobs, find_queue, find_team
 from sardinemast.protocol import (
     AnnounceWorker,
     BeginWave,
@@ -90,7 +90,7 @@
 
     @property
     def _state(self) -> JobsState:
-        return self._context.state.plans.jobs
+        return self._context.state.subsystems.jobs
 
     @singledispatchmethod
     def _take(
@@ -130,7 +130,7 @@
         caller: Caller,
     ) -> CallAnswer | None:
         if action is JobAction.read and not name:
-            waiting = count_waiting(self._state, queue.name)
+            waiting = count_queued_jobs(self._state, queue.name)
             return CallAnswer(CallOutcome.done, waiting=waiting)
         job = self._find_job(queue, name)
         if job is None:
@@ -240,7 +240,9 @@
         wave = self._state.waves.get(call.number)
         if wave is None:
             return CallAnswer(CallOutcome.unknown_job)
-        is_done = all(one.status is UpkeepStatus.done for one in wave.items)
+        is_done = all(
+            one.status is MaintenanceStatus.done for one in wave.items
+        )
         return CallAnswer(
             CallOutcome.done,
             status='done' if is_done else 'running',
--- a/src/sardinemast/control/_core.py
+++ b/src/sardinemast/control/_core.py
@@ -36,12 +36,12 @@
     COMMANDS,
     AdvanceTime,
     Command,
-    EntryCommand,
+    EntryUpdate,
     FleetState,
     RetireEntry,
     apply_command,
     is_known_command,
-    make_entry_command,
+    make_entry_update,
 )
 from sardinemast.protocol import (
     HeardUpstreams,
@@ -264,7 +264,7 @@
             self._outputs.append(output)
 
     def _apply(self, entry: consensus.LogEntry, now_s: float) -> None:
-        applied = EntryCommand(entry.log_index, b'', {})
+        applied = EntryUpdate(entry.log_index, b'', {})
         if entry.payload:
             applied = self._apply_command(entry, now_s)
         self.state.log_index = entry.log_index
@@ -281,7 +281,7 @@
         self,
         entry: consensus.LogEntry,
         now_s: float,
-    ) -> EntryCommand:
+    ) -> EntryUpdate:
         command = COMMANDS.decode(entry.payload)
         is_known = is_known_command(self.state, command)
         outcome = apply_command(self.state, command, entry.log_index)
@@ -293,8 +293,8 @@
         # A resend and a refusal change nothing. An entry does not remember
         # commands, and would carry out the resend once more.
         if is_known or not outcome.is_accepted:
-            return EntryCommand(entry.log_index, b'', {})
-        return make_entry_command(self.state, command, entry.log_index)
+            return EntryUpdate(entry.log_index, b'', {})
+        return make_entry_update(self.state, command, entry.log_index)
 
     def _change_role(
         self,
--- a/src/sardinemast/control/_gauges.py
+++ b/src/sardinemast/control/_gauges.py
@@ -14,7 +14,7 @@
 
     A follower's figures lag behind the leader's by a heartbeat or so.
     """
-    state = fleet.plans.jobs
+    state = fleet.subsystems.jobs
     return {
         'is_leader': {'': float(replica.role is Role.leader)},
         'term': {'': float(replica.term)},
--- a/src/sardinemast/control/_job_desk.py
+++ b/src/sardinemast/control/_job_desk.py
@@ -87,7 +87,7 @@
     def start_term(self, now_s: float) -> None:
         """Lead from now on; all entries of former terms are applied."""
         self._is_leading = True
-        state = self._context.state.plans.jobs
+        state = self._context.state.subsystems.jobs
         term = self._leading.replica.term
         self._dispatcher.start_term(state, term, now_s)
         self._calls.start_term()
--- a/src/sardinemast/control/_state_streams.py
+++ b/src/sardinemast/control/_state_streams.py
@@ -2,7 +2,7 @@
 
 from sardinemast.control._context import ControlContext
 from sardinemast.control._sessions import EntrySessions, Session
-from sardinemast.fleet import EntryCommand, dump_for_entry
+from sardinemast.fleet import EntryUpdate, dump_for_entry
 from sardinemast.protocol import AppliedCommand, StateChanged, StateReplaced
 
 _EMPTY_INTERVAL_S = 0.1
@@ -22,7 +22,7 @@
         self._sent_index: dict[int, int] = {}
         self._sent_s: dict[int, float] = {}
         self._whole_s: dict[int, float] = {}
-        self._fresh: list[EntryCommand] = []
+        self._fresh: list[EntryUpdate] = []
 
     def send_whole(self, session: Session, now_s: float) -> None:
         """Send the state as it is now."""
@@ -41,7 +41,7 @@
         if now_s >= self._whole_s[session.stream_id] + _WHOLE_INTERVAL_S:
             self.send_whole(session, now_s)
 
-    def note_applied(self, applied: EntryCommand) -> None:
+    def note_applied(self, applied: EntryUpdate) -> None:
         """Note a command for the entries."""
         if self._sessions.sessions:
             self._fresh.append(applied)
--- a/src/sardinemast/dispatch/_ledger.py
+++ b/src/sardinemast/dispatch/_ledger.py
@@ -45,11 +45,11 @@
     to a second old, and an order to stop it that had no answer may be lost.
     Ended on that ground, it would be the second one that users miss.
     """
-    if not step.step.is_lasting or not step.step.may_miss:
+    if not step.spec.is_long_running or not step.spec.max_unavailable:
         return True
     away = sum(
         not is_at_work(state, step, position, now_s)
-        for position in range(step.step.task_count)
+        for position in range(step.spec.task_count)
         if position != task.position
     )
-    return away < step.step.may_miss
+    return away < step.spec.max_unavailable
--- a/src/sardinemast/dispatch/_looks.py
+++ b/src/sardinemast/dispatch/_looks.py
@@ -15,7 +15,7 @@
 )
 from sardinemast.dispatch._state import DispatchState
 from sardinemast.jobs import RunEnd
-from sardinemast.jobs.commands import ForgetWorker, RegisterWorker, RunOver
+from sardinemast.jobs.commands import FinishedRun, ForgetWorker, RegisterWorker
 
 _MS = 1000
 
@@ -78,7 +78,7 @@
         # The worker has killed everything by itself; what it was told and
         # has not carried out yet is void under a higher fence.
         for task, number in runs.items():
-            self._state.note_end(RunOver(task, number, RunEnd.lost))
+            self._state.note_end(FinishedRun(task, number, RunEnd.lost))
         if contact.is_synced:
             contact.is_synced = False
             contact.looks.has_doubt = True
@@ -118,11 +118,11 @@
         contact: Contact,
         looked: WorkerLooked,
         now_s: float,
-    ) -> list[RunOver]:
+    ) -> list[FinishedRun]:
         """Take the answer to a look, and give the ends that it told."""
         contact.looks.is_sent = False
         answer = looked.answer
-        ends: list[RunOver] = []
+        ends: list[FinishedRun] = []
         if looked.outcome is OrderOutcome.gone:
             self.let_go(contact)
         elif answer is None:
@@ -178,7 +178,10 @@
     def _get_wait_ms(self, contact: Contact) -> int:
         name = contact.worker.name
         usage = self._state.jobs.usage
-        is_watched = usage.fillers[name] and usage.servers[name]
+        is_watched = (
+            usage.best_effort_counts[name]
+            and usage.latency_sensitive_counts[name]
+        )
         settings = self._state.settings
         return settings.watch_ms if is_watched else settings.wait_ms
 
@@ -197,7 +200,7 @@
         contact: Contact,
         looked: WorkerLooked,
         now_s: float,
-    ) -> list[RunOver]:
+    ) -> list[FinishedRun]:
         answer = looked.answer
         if answer is None or looked.fence < contact.fence:
             return []
--- a/src/sardinemast/dispatch/_measure.py
+++ b/src/sardinemast/dispatch/_measure.py
@@ -35,18 +35,18 @@
             # A resting one is back in a moment, from maintenance.
             self.workers += contact.is_resting
             return
-        self.room += worker.room.millicores
+        self.room += worker.capacity.millicores
         self.free += max(state.jobs.get_free(worker).millicores, 0)
         self.workers += 1
         if not runs:
             self.empty.append(worker)
 
     def add_step(self, step: StepState) -> None:
-        if step.step.is_filler:
+        if step.spec.is_best_effort:
             return
-        millicores = step.step.size.millicores
+        millicores = step.spec.size.millicores
         self.wanted += len(step.waiting) * millicores
-        if not step.step.is_lasting:
+        if not step.spec.is_long_running:
             self.passing += len(step.running) * millicores
 
     def sum_up(self) -> PoolLoad:
--- a/src/sardinemast/dispatch/_moves.py
+++ b/src/sardinemast/dispatch/_moves.py
@@ -23,7 +23,7 @@
 from sardinemast.dispatch._peaks import PeakBook
 from sardinemast.dispatch._pool_sizes import PoolNeed, count_needed
 from sardinemast.dispatch._state import DispatchState
-from sardinemast.jobs import UpkeepStatus, Worker
+from sardinemast.jobs import MaintenanceStatus, Worker
 from sardinemast.jobs.commands import ForgetWorker, NoteMove
 
 # The list changes only by own moves and by instances that come and go.
@@ -145,11 +145,11 @@
         self,
         loads: dict[str, PoolLoad],
     ) -> dict[str, PoolNeed]:
-        usual = Counter(self._state.jobs.homes.values())
+        usual = Counter(self._state.jobs.home_pools.values())
         largest: dict[str, int] = {}
         for contact in self._state.contacts.values():
             pool = contact.worker.pool
-            millicores = contact.worker.room.millicores
+            millicores = contact.worker.capacity.millicores
             largest[pool] = max(largest.get(pool, 0), millicores)
         return {
             pool: PoolNeed(usual[pool], largest.get(pool, 0)) for pool in loads
@@ -162,7 +162,9 @@
         peaks: PeakBook,
         now_s: float,
     ) -> int:
-        leaving = map(self._state.jobs.places.find_newest, self._under_way)
+        leaving = map(
+            self._state.jobs.worker_index.find_newest, self._under_way
+        )
         going = sum(
             worker is not None and worker.pool == pool for worker in leaving
         )
@@ -214,7 +216,9 @@
                 self._choose(worker, standby_pool, now_s)
 
     def _bring_in(self, pool: str, wanted: int, now_s: float) -> int:
-        busy = self._state.list_upkeeps(UpkeepStatus.ordered, UpkeepStatus.down)
+        busy = self._state.list_upkeeps(
+            MaintenanceStatus.ordered, MaintenanceStatus.down
+        )
         ready = [
             name
             for name in self._standby
@@ -225,7 +229,7 @@
         ]
         # One that is due for maintenance would be taken from the pool again
         # in the middle of its peak.
-        due = self._state.list_upkeeps(UpkeepStatus.waiting)
+        due = self._state.list_upkeeps(MaintenanceStatus.waiting)
         ready.sort(key=due.__contains__)
         for name in ready[: max(wanted, 0)]:
             self._standby.pop(name)
@@ -273,7 +277,7 @@
 
     def _follow(self, now_s: float) -> None:
         for instance, move in tuple(self._under_way.items()):
-            worker = self._state.jobs.places.find_newest(instance)
+            worker = self._state.jobs.worker_index.find_newest(instance)
             is_there = worker is not None and worker.pool == move.pool
             if is_there or now_s > move.until_s:
                 self._end(instance)
@@ -281,7 +285,7 @@
     def _end(self, instance: str) -> None:
         self._under_way.pop(instance, None)
         self._state.moving.discard(instance)
-        for worker in self._state.jobs.places.list_on_instance(instance):
+        for worker in self._state.jobs.worker_index.list_on_instance(instance):
             contact = self._state.contacts.get(worker.name)
             if contact is not None:
                 contact.is_resting = False
@@ -289,7 +293,7 @@
     def _forget_moved(self, answered: MoveAnswered) -> None:
         # It ran nothing, so that nothing is lost if it should still be there;
         # then its next word brings it back.
-        places = self._state.jobs.places
+        places = self._state.jobs.worker_index
         for worker in places.list_on_instance(answered.instance):
             if worker.pool != answered.pool:
                 gone = ForgetWorker(worker.name, worker.boot_ms)
--- a/src/sardinemast/dispatch/_order.py
+++ b/src/sardinemast/dispatch/_order.py
@@ -14,12 +14,12 @@
     they run. Then comes what can still be done in time, the earliest
     deadline first, and last what is late already.
     """
-    chains = job.chains_ms
+    chains = job.critical_paths_ms
     allowed_ms = job.queue.stretch * max(chains) + job.queue.target_ms
     due_ms = _get_begin_ms(job, step) + allowed_ms
     is_late = now_ms + chains[step.key.step] > due_ms
     rank = 0
-    if not step.step.is_lasting:
+    if not step.spec.is_long_running:
         rank = 2 if is_late else 1
     return (job.queue.priority, rank, due_ms, job.log_index, step.key.step)
 
--- a/src/sardinemast/dispatch/_pacing.py
+++ b/src/sardinemast/dispatch/_pacing.py
@@ -32,7 +32,10 @@
     ) -> None:
         """Judge the tails that a worker has just told."""
         name = contact.worker.name
-        if not state.usage.fillers[name] and name not in self._percents:
+        if (
+            not state.usage.best_effort_counts[name]
+            and name not in self._percents
+        ):
             return
         worst = max(_list_tails(state, contact), default=0)
         changed_s = self._changed_s.get(name, float('-inf'))
@@ -51,7 +54,7 @@
     ) -> list[tuple[TaskKey, int, int]]:
         """Give each filler whose speed differs: task, run, percent."""
         name = contact.worker.name
-        if not state.usage.fillers[name]:
+        if not state.usage.best_effort_counts[name]:
             return []
         percent = self._percents.get(name, FULL_PERCENT)
         wanted = []
@@ -91,9 +94,9 @@
 
 def _is_filler(state: JobsState, task: TaskKey) -> bool:
     step = state.find_step(task)
-    return step is not None and step.step.is_filler
+    return step is not None and step.spec.is_best_effort
 
 
 def _get_limit_ms(state: JobsState, task: TaskKey) -> int:
     step = state.find_step(task)
-    return step.step.tail_limit_ms if step else 0
+    return step.spec.tail_latency_limit_ms if step else 0
--- a/src/sardinemast/dispatch/_peak_history.py
+++ b/src/sardinemast/dispatch/_peak_history.py
@@ -48,9 +48,9 @@
     work = sum(
         step.task_count * step.size.millicores * step.estimate_ms
         for step in job.request.steps
-        if not (step.is_lasting or step.is_filler)
+        if not (step.is_long_running or step.is_best_effort)
     )
-    chain_ms = max(job.chains_ms)
+    chain_ms = max(job.critical_paths_ms)
     first = job.submitted_ms // _SLICE_MS
     count = chain_ms // _SLICE_MS + 1
     for place in range(first, first + count):
--- a/src/sardinemast/dispatch/_planner.py
+++ b/src/sardinemast/dispatch/_planner.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterator
 
 from sardinemast.jobs import (
-    NO_SIZE,
+    ZERO_SIZE,
     JobsState,
     Size,
     StepState,
@@ -60,7 +60,7 @@
     def _place_step(self, step: StepState) -> None:
         if self._is_too_large(step):
             return
-        if step.step.is_gang:
+        if step.spec.is_gang:
             self._place_gang(step)
             return
         on_worker = _count_by_worker(step)
@@ -75,7 +75,7 @@
         # Unless all can start at once, none does.
         if step.running:
             return
-        racks = self._get_racks(step) if step.step.is_same_rack else ['']
+        racks = self._get_racks(step) if step.spec.is_same_rack else ['']
         # What is too large beside half a gang may fit when that gives way.
         self._is_trying = True
         for rack in racks:
@@ -92,7 +92,7 @@
                 if self._check_usable(name)
             },
         )
-        racks.sort(key=lambda rack: rack != step.step.data_rack)
+        racks.sort(key=lambda rack: rack != step.spec.data_rack)
         # Far apart is slow, but a gang that fits no rack must run somewhere.
         return [*racks, '']
 
@@ -123,10 +123,10 @@
         worker = self._pick(step, index, on_worker, rack)
         if worker is None:
             return None
-        self._free.change(worker, step.step.room_size, -1)
+        self._free.change(worker, step.spec.reserved_size, -1)
         team = self._state.get_job(step).team
-        used = self._used_by_team.get(team, NO_SIZE)
-        self._used_by_team[team] = used.plus(step.step.size)
+        used = self._used_by_team.get(team, ZERO_SIZE)
+        self._used_by_team[team] = used.plus(step.spec.size)
         self._starts.append(
             RunStart(step.get_task(index), step.get_next_number(index), worker),
         )
@@ -137,7 +137,7 @@
         team = self._state.teams.get(job.team)
         if team is None:
             return True
-        used = self._used_by_team.get(job.team, NO_SIZE).plus(step.step.size)
+        used = self._used_by_team.get(job.team, ZERO_SIZE).plus(step.spec.size)
         return all(
             cap <= 0 or taken <= cap
             for taken, cap in zip(used, team.cap, strict=True)
@@ -174,14 +174,14 @@
             if not any(cost):
                 break
         if not has_room and not self._is_trying:
-            self._unfit[self._get_pool(step)].append(step.step.room_size)
+            self._unfit[self._get_pool(step)].append(step.spec.reserved_size)
         return best[1] if best else None
 
     def _iterate_roomy(self, step: StepState) -> Iterator[Worker]:
         """Give the usable workers with room for a task, the fullest first."""
         for name in self._free.iterate_fitting(
             self._get_pool(step),
-            step.step.room_size,
+            step.spec.reserved_size,
         ):
             if self._check_usable(name):
                 yield self._state.workers[name]
@@ -201,15 +201,18 @@
         half of a processor with 45 workers a pool; an end that waited behind
         such a plan was known late.
         """
-        size = step.step.room_size
+        size = step.spec.reserved_size
         unfit = self._unfit[self._get_pool(step)]
         return any(smaller.fits(size) for smaller in unfit)
 
     def _is_disturbed(self, step: StepState, worker: Worker) -> bool:
         usage = self._state.usage
-        if step.step.is_filler:
-            return usage.servers[worker.name] > 0
-        return step.step.tail_limit_ms > 0 and usage.fillers[worker.name] > 0
+        if step.spec.is_best_effort:
+            return usage.latency_sensitive_counts[worker.name] > 0
+        return (
+            step.spec.tail_latency_limit_ms > 0
+            and usage.best_effort_counts[worker.name] > 0
+        )
 
 
 def _count_by_worker(step: StepState) -> dict[str, int]:
@@ -225,14 +228,17 @@
     on_worker: dict[str, int],
     rack: str,
 ) -> bool:
-    wanted = step.step
+    wanted = step.spec
     if not wanted.allows_labels(worker.labels):
         return False
-    if wanted.worker_max and on_worker[worker.name] >= wanted.worker_max:
+    if (
+        wanted.max_per_worker
+        and on_worker[worker.name] >= wanted.max_per_worker
+    ):
         return False
     return not rack or worker.rack == rack
 
 
 def _is_far(step: StepState, worker: Worker) -> bool:
-    rack = step.step.data_rack
+    rack = step.spec.data_rack
     return bool(rack) and rack != worker.rack
--- a/src/sardinemast/dispatch/_reconcile.py
+++ b/src/sardinemast/dispatch/_reconcile.py
@@ -9,7 +9,7 @@
     WorkerLooked,
 )
 from sardinemast.jobs import JobsState, RunEnd, TaskKey
-from sardinemast.jobs.commands import RunOver
+from sardinemast.jobs.commands import FinishedRun
 
 _ENDS = MappingProxyType({'done': RunEnd.done, 'failed': RunEnd.failed})
 
@@ -21,7 +21,7 @@
     number: int
 
 
-def collect_ends(contact: Contact, looked: WorkerLooked) -> list[RunOver]:
+def collect_ends(contact: Contact, looked: WorkerLooked) -> list[FinishedRun]:
     """Give the ends that were not noted before, and note them."""
     ended = looked.answer.ended if looked.answer else ()
     fresh = [one for one in ended if one.position > contact.ends.noted]
@@ -35,7 +35,7 @@
     contact: Contact,
     looked: WorkerLooked,
     ending: set[TaskKey],
-) -> list[RunOver]:
+) -> list[FinishedRun]:
     """Give the runs that the log has here and that surely do not exist.
 
     One that is not listed may still be on its way, unless the worker had
@@ -47,7 +47,7 @@
         if task in ending or (listed and listed.number == number):
             continue
         if _cannot_come(contact, task, number, looked):
-            lost.append(RunOver(task, number, RunEnd.lost))
+            lost.append(FinishedRun(task, number, RunEnd.lost))
     return lost
 
 
@@ -61,8 +61,8 @@
     ]
 
 
-def _make_over(ended: ListedEnd) -> RunOver:
-    return RunOver(
+def _make_over(ended: ListedEnd) -> FinishedRun:
+    return FinishedRun(
         ended.task,
         ended.number,
         _ENDS.get(ended.result, RunEnd.lost),
--- a/src/sardinemast/dispatch/_starts.py
+++ b/src/sardinemast/dispatch/_starts.py
@@ -14,7 +14,7 @@
 from sardinemast.dispatch._state import DispatchState
 from sardinemast.dispatch._tickets import Tickets
 from sardinemast.jobs import RunEnd, StepKey, StepState, TaskKey, Worker
-from sardinemast.jobs.commands import RecordRuns, RunOver, RunStart
+from sardinemast.jobs.commands import FinishedRun, RecordRuns, RunStart
 
 # Room that a worker refuses is told by its next look, well within this.
 _AVOID_REFUSED_S = 0.3
@@ -51,7 +51,7 @@
     def note_ends(
         self,
         contact: Contact,
-        ends: list[RunOver],
+        ends: list[FinishedRun],
         now_s: float,
     ) -> None:
         """Learn from ends; what failed at a worker goes elsewhere next.
@@ -141,7 +141,7 @@
             contact.distrust.until_s = now_s + _AVOID_UNHEALTHY_S
         else:
             contact.sent.pop(answered.task)
-            lost = RunOver(answered.task, answered.number, RunEnd.lost)
+            lost = FinishedRun(answered.task, answered.number, RunEnd.lost)
             self._state.note_end(lost)
             if answered.reason == TICKET_REASON:
                 step_key = StepKey(*answered.task[:-1])
@@ -195,7 +195,7 @@
         contact = self._state.contacts.get(start.worker)
         if contact is None or not contact.is_synced:
             # It was lost while the start was recorded, and hears nothing.
-            lost = RunOver(start.task, start.number, RunEnd.lost)
+            lost = FinishedRun(start.task, start.number, RunEnd.lost)
             self._state.note_end(lost)
             return
         self._state.log(
@@ -224,12 +224,12 @@
         self._state.stop_job(ended.job, now_s)
         step = self._state.jobs.find_step(ended)
         # A member of a gang that runs without the others only holds room.
-        if step is not None and step.step.is_gang and step.waiting:
+        if step is not None and step.spec.is_gang and step.waiting:
             self._state.stop_step(step, now_s)
 
 
 def _get_checkpoint(step: StepState, position: int) -> str:
     # The value of any member counts for a gang, and all carry the same.
-    if step.step.is_gang:
+    if step.spec.is_gang:
         return next(iter(sorted(step.checkpoints.values())), '')
     return step.checkpoints.get(position, '')
--- a/src/sardinemast/dispatch/_state.py
+++ b/src/sardinemast/dispatch/_state.py
@@ -16,11 +16,11 @@
     Advice,
     Command,
     JobsState,
+    MaintenanceStatus,
     StepState,
     TaskKey,
-    UpkeepStatus,
 )
-from sardinemast.jobs.commands import RunOver
+from sardinemast.jobs.commands import FinishedRun
 
 _MS = 1000
 
@@ -41,7 +41,7 @@
         self.now_ms = 0
         self.outputs: list[DispatchOutput] = []
         self.contacts: dict[str, Contact] = {}
-        self.ends: dict[TaskKey, RunOver] = {}
+        self.ends: dict[TaskKey, FinishedRun] = {}
         self.is_changed = True
         self.loads: dict[str, PoolLoad] = {}
         self.order_times = OrderTimes()
@@ -86,7 +86,7 @@
         last_s = self.order_times.get_last_s(instance)
         return now_s >= last_s + self.settings.settle_s
 
-    def list_upkeeps(self, *wanted: UpkeepStatus) -> set[str]:
+    def list_upkeeps(self, *wanted: MaintenanceStatus) -> set[str]:
         """Give the instances whose maintenance is that far."""
         return {
             item.instance
@@ -111,7 +111,7 @@
         """Give the runs that the log has at a worker."""
         return self.jobs.runs.get(worker, {})
 
-    def note_end(self, over: RunOver) -> None:
+    def note_end(self, over: FinishedRun) -> None:
         """Gather an end, if it is that of the task's newest run."""
         step = self.jobs.find_step(over.task)
         run = step.running.get(over.task.position) if step else None
@@ -177,7 +177,7 @@
         were switched off long before. Times of day may be off or jump, so
         that they count only with much to spare.
         """
-        noted_ms = self.jobs.ordered_ms.get(instance)
+        noted_ms = self.jobs.last_order_ms.get(instance)
         if noted_ms is None:
             return True
         settings = self.settings
@@ -185,4 +185,4 @@
         return noted_ms > 0 and self.now_ms >= noted_ms + needed_s * _MS
 
     def _is_ordered(self, instance: str) -> bool:
-        return instance in self.list_upkeeps(UpkeepStatus.ordered)
+        return instance in self.list_upkeeps(MaintenanceStatus.ordered)
--- a/src/sardinemast/dispatch/_stragglers.py
+++ b/src/sardinemast/dispatch/_stragglers.py
@@ -10,7 +10,7 @@
 from sardinemast.dispatch._contact import Contact
 from sardinemast.dispatch._state import DispatchState
 from sardinemast.jobs import RunEnd, StepState, TaskKey
-from sardinemast.jobs.commands import RunOver
+from sardinemast.jobs.commands import FinishedRun
 
 _MS = 1000
 _WHOLE_PERCENT = 100
@@ -69,7 +69,7 @@
     def note_ends(
         self,
         contact: Contact,
-        ends: list[RunOver],
+        ends: list[FinishedRun],
         now_s: float,
     ) -> None:
         """Learn how long runs take, measured in their declared time."""
@@ -125,7 +125,7 @@
                     run.number,
                     begun_s,
                     self._state.jobs.get_queue(step).name,
-                    step.step.estimate_ms,
+                    step.spec.estimate_ms,
                 )
             seen[task] = before
         self._seen[name] = seen
@@ -190,7 +190,7 @@
             return False
         fitting = state.jobs.usage.free.iterate_fitting(
             contact.worker.pool,
-            step.step.room_size,
+            step.spec.reserved_size,
         )
         return any(
             state.contacts[name].is_usable(now_s, has_runs=True)
@@ -215,9 +215,9 @@
 
 
 def _is_judged(step: StepState, contact: Contact) -> bool:
-    wanted = step.step
+    wanted = step.spec
     # Members of a gang wait for each other, and a task far from its data is
     # slow wherever there is room for it.
-    if wanted.is_lasting or wanted.is_gang or not wanted.estimate_ms:
+    if wanted.is_long_running or wanted.is_gang or not wanted.estimate_ms:
         return False
     return wanted.data_rack in {'', contact.worker.rack}
--- a/src/sardinemast/dispatch/_tickets.py
+++ b/src/sardinemast/dispatch/_tickets.py
@@ -131,10 +131,12 @@
     ) -> tuple[Worker, ...]:
         jobs = self._state.jobs
         pool = jobs.get_queue(step).pool
-        wanted = step.step
+        wanted = step.spec
         fitting = [
             jobs.workers[name]
-            for name in jobs.usage.free.iterate_fitting(pool, wanted.room_size)
+            for name in jobs.usage.free.iterate_fitting(
+                pool, wanted.reserved_size
+            )
             if wanted.allows_labels(jobs.workers[name].labels)
             and is_usable(name)
         ]
@@ -156,7 +158,7 @@
         if advice is None:
             return
         answer_s = self._state.settings.answer_s
-        taken_ms = advice.decide_ms + advice.each_ms * len(workers)
+        taken_ms = advice.decide_ms + advice.per_worker_ms * len(workers)
         self._asked = AskAdvice(
             step.key,
             workers,
--- a/src/sardinemast/dispatch/_upkeep.py
+++ b/src/sardinemast/dispatch/_upkeep.py
@@ -14,11 +14,11 @@
 from sardinemast.dispatch._loads import NO_LOAD
 from sardinemast.dispatch._outcomes import OrderOutcome
 from sardinemast.dispatch._state import DispatchState
-from sardinemast.jobs import UpkeepStatus, Wave, WaveItem, Worker
+from sardinemast.jobs import MaintenanceStatus, Wave, WaveItem, Worker
 from sardinemast.jobs.commands import NoteUpkeep
 
 _MS = 1000
-_BUSY = frozenset((UpkeepStatus.ordered, UpkeepStatus.down))
+_BUSY = frozenset((MaintenanceStatus.ordered, MaintenanceStatus.down))
 # From emptying a worker to its successor's first word, seen on quiet days.
 _TURN_S = 6.0
 # So many of a pool at once make up for what was put off in its peak.
@@ -41,7 +41,7 @@
         self._state = state
         self._emptied_s: dict[str, float] = {}
         self._ordered_s: dict[tuple[int, str], float] = {}
-        self._noting: dict[tuple[int, str], UpkeepStatus] = {}
+        self._noting: dict[tuple[int, str], MaintenanceStatus] = {}
         self._down_since_s: dict[str, float] = {}
         self._taken_down_s: dict[tuple[int, str], float] = {}
         self._listed_s = float('-inf')
@@ -59,7 +59,9 @@
         waves = [
             wave
             for wave in self._state.jobs.waves.values()
-            if any(one.status is not UpkeepStatus.done for one in wave.items)
+            if any(
+                one.status is not MaintenanceStatus.done for one in wave.items
+            )
         ]
         for wave in waves:
             self._go_on(wave, self._find_workers(wave), now_s, now_ms)
@@ -81,13 +83,13 @@
             self._note(
                 wave,
                 answered.instance,
-                UpkeepStatus.down,
+                MaintenanceStatus.down,
                 answered.boot_ms,
             )
         elif answered.is_unknown_instance:
-            self._note(wave, answered.instance, UpkeepStatus.done)
+            self._note(wave, answered.instance, MaintenanceStatus.done)
         elif self._is_given_up(answered, now_s):
-            self._note(wave, answered.instance, UpkeepStatus.done)
+            self._note(wave, answered.instance, MaintenanceStatus.done)
         else:
             self._state.log(
                 'upkeep.not_done',
@@ -139,17 +141,19 @@
         It has no worker that would announce itself. A list that was asked for
         before the instance was taken down may still show it as up.
         """
-        if item.status is not UpkeepStatus.down or item.boot_ms:
+        if item.status is not MaintenanceStatus.down or item.boot_ms:
             return
         place = (wave.number, item.instance)
         taken_s = self._taken_down_s.get(place, float('inf'))
         if asked_s > taken_s:
-            self._note(wave, item.instance, UpkeepStatus.done)
+            self._note(wave, item.instance, MaintenanceStatus.done)
 
     def _find_workers(self, wave: Wave) -> dict[str, Worker]:
         """Give the newest worker of each instance of a wave that has one."""
         found = {
-            item.instance: self._state.jobs.places.find_newest(item.instance)
+            item.instance: self._state.jobs.worker_index.find_newest(
+                item.instance
+            )
             for item in wave.items
         }
         return {name: worker for name, worker in found.items() if worker}
@@ -179,14 +183,14 @@
         place = (wave.number, item.instance)
         settings = self._state.settings
         ordered_s = self._ordered_s.get(place)
-        if item.status is UpkeepStatus.down:
+        if item.status is MaintenanceStatus.down:
             # Of a worker that was not known when the order was sent, the
             # first word may have been on its way; only time tells there.
             boot_ms = worker.boot_ms if worker else 0
             is_back = 0 < item.boot_ms < boot_ms
             since_s = ordered_s or self._state.started_s
             if is_back or now_s >= since_s + settings.upkeep_max_s:
-                self._note(wave, item.instance, UpkeepStatus.done)
+                self._note(wave, item.instance, MaintenanceStatus.done)
             elif not item.boot_ms:
                 self._ask_for_list(now_s)
         elif now_s >= self._state.settled_at_s:
@@ -234,12 +238,12 @@
         waiting = [
             item
             for item in wave.items
-            if item.status is UpkeepStatus.waiting
+            if item.status is MaintenanceStatus.waiting
             and item.instance not in self._state.moving
         ]
         busy = sum(item.status in _BUSY for item in wave.items)
         busy += sum(
-            place[0] == wave.number and status is UpkeepStatus.ordered
+            place[0] == wave.number and status is MaintenanceStatus.ordered
             for place, status in self._noting.items()
         )
         for item in self._choose(wave, waiting, workers, now_ms):
@@ -249,7 +253,7 @@
                 self._note(
                     wave,
                     item.instance,
-                    UpkeepStatus.ordered,
+                    MaintenanceStatus.ordered,
                     worker.boot_ms if worker else 0,
                 )
 
@@ -315,7 +319,7 @@
         left = [
             step
             for _, _, step in self._state.iterate_steps_on(name)
-            if step.step.is_lasting and step.step.may_miss
+            if step.spec.is_long_running and step.spec.max_unavailable
         ]
         if left:
             return False
@@ -327,7 +331,7 @@
         for task, number, step in tuple(
             self._state.iterate_steps_on(contact.worker.name),
         ):
-            if not step.step.is_lasting:
+            if not step.spec.is_long_running:
                 continue
             if may_stop(self._state, step, task, now_s):
                 self._state.stop(contact, task, number, now_s)
@@ -336,7 +340,7 @@
         self,
         wave: Wave,
         instance: str,
-        status: UpkeepStatus,
+        status: MaintenanceStatus,
         boot_ms: int = 0,
     ) -> None:
         place = (wave.number, instance)
--- a/src/sardinemast/fleet/__init__.py
+++ b/src/sardinemast/fleet/__init__.py
@@ -11,6 +11,12 @@
     Site,
     Team,
 )
+from sardinemast.fleet._entry_updates import (
+    EntryUpdate,
+    dump_for_entry,
+    make_entry_update,
+    replay_command,
+)
 from sardinemast.fleet._state import (
     EntryProcess,
     FleetImage,
@@ -23,13 +29,7 @@
     dump_state,
     load_state,
 )
-from sardinemast.fleet._streams import (
-    EntryCommand,
-    dump_for_entry,
-    make_entry_command,
-    replay_command,
-)
-from sardinemast.fleet._time_commands import REMEMBERED_DAYS
+from sardinemast.fleet._time_commands import COMMAND_RETENTION_DAYS
 from sardinemast.fleet.commands import (
     COMMANDS,
     OPERATOR_COMMANDS,
@@ -65,7 +65,7 @@
 __all__ = (
     'COMMANDS',
     'OPERATOR_COMMANDS',
-    'REMEMBERED_DAYS',
+    'COMMAND_RETENTION_DAYS',
     'AdvanceTime',
     'ApplyDocument',
     'AssignInstance',
@@ -73,7 +73,7 @@
     'Command',
     'DocumentChange',
     'DocumentFinding',
-    'EntryCommand',
+    'EntryUpdate',
     'EntryProcess',
     'FleetDocument',
     'FleetError',
@@ -110,6 +110,6 @@
     'get_pool',
     'is_known_command',
     'load_state',
-    'make_entry_command',
+    'make_entry_update',
     'replay_command',
 )
--- a/src/sardinemast/fleet/_entry_commands.py
+++ b/src/sardinemast/fleet/_entry_commands.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from sardinemast.fleet._dispatch import accept, execute_command
+from sardinemast.fleet._execution import accept, execute_command
 from sardinemast.fleet._state import EntryProcess, FleetState, Outcome
 from sardinemast.maintenance import EntryRun
 
@@ -47,9 +47,9 @@
     )
     # A run whose lease nobody asks about before a reboot would lose its work.
     run = EntryRun(command.name, command.incarnation)
-    state.plans.maintenance.entry_runs[run] = state.log_index
+    state.subsystems.maintenance.entry_runs[run] = state.log_index
     state.entries[command.name] = registered
-    state.key_holders[command.name] = registered
+    state.idempotency_entries[command.name] = registered
     return accept(state)
 
 
--- a/src/sardinemast/fleet/_streams.py
+++ b/src/sardinemast/fleet/_entry_updates.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from sardinemast import jobs, placement
-from sardinemast.fleet._dispatch import execute_command
+from sardinemast.fleet._execution import execute_command
 from sardinemast.fleet._state import (
     FleetImage,
     FleetState,
@@ -23,7 +23,7 @@
 )
 
 
-class EntryCommand(NamedTuple):
+class EntryUpdate(NamedTuple):
     """Hold what a command changes at all entries and at single ones.
 
     ``payload`` goes to every entry. ``grants_by_holder`` holds, by entry and
@@ -51,18 +51,18 @@
     )
     return dump_state(state)._replace(
         grants=grants,
-        remembered=(),
+        recent_commands=(),
         history=(),
         placement=placement.EMPTY_IMAGE,
         jobs=jobs.EMPTY_IMAGE,
     )
 
 
-def make_entry_command(
+def make_entry_update(
     state: FleetState,
     command: Command,
     index: int,
-) -> EntryCommand:
+) -> EntryUpdate:
     """Give what entries are sent after the accepted command was applied.
 
     An entry has neither the remembered commands nor the history nor other
@@ -71,16 +71,16 @@
     if isinstance(command, ChangeGrants):
         teams = {change.team for change in command.changes}
         totals = {team: state.granted_totals[team] for team in sorted(teams)}
-        return EntryCommand(
+        return EntryUpdate(
             index,
             COMMANDS.encode(NoteTotals(totals)),
             _split_grants(state, command),
         )
     if isinstance(command, AdvanceTime | placement.Command | jobs.Command):
-        return EntryCommand(index, b'', {})
+        return EntryUpdate(index, b'', {})
     if isinstance(command, RestoreVersion):
         command = ApplyDocument('', state.version - 1, state.document)
-    return EntryCommand(index, COMMANDS.encode(command), {})
+    return EntryUpdate(index, COMMANDS.encode(command), {})
 
 
 def replay_command(
--- a/src/sardinemast/fleet/_grant_commands.py
+++ b/src/sardinemast/fleet/_grant_commands.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from sardinemast.fleet._dispatch import accept, execute_command
+from sardinemast.fleet._execution import accept, execute_command
 from sardinemast.fleet._state import FleetState, Grant, Outcome
 from sardinemast.fleet.queries import get_free_limit
 
--- a/src/sardinemast/fleet/_instance_commands.py
+++ b/src/sardinemast/fleet/_instance_commands.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from sardinemast.fleet._dispatch import accept, execute_command
+from sardinemast.fleet._execution import accept, execute_command
 from sardinemast.fleet._state import FleetState, Instance, Outcome
 
 MAX_INSTANCES = 5000
--- a/src/sardinemast/fleet/_operator_commands.py
+++ b/src/sardinemast/fleet/_operator_commands.py
@@ -7,9 +7,9 @@
     DocumentChange,
     diff_documents,
 )
-from sardinemast.fleet._dispatch import accept, execute_command, refuse
 from sardinemast.fleet._document_checks import check_document
 from sardinemast.fleet._documents import FleetDocument
+from sardinemast.fleet._execution import accept, execute_command, refuse
 from sardinemast.fleet._state import FleetState, Instance, KeyRecord, Outcome
 from sardinemast.fleet._time_commands import get_version_document, keep_version
 from sardinemast.maintenance import forget_instance, reassign_instance
@@ -164,7 +164,7 @@
         return refuse(state, 'fleet.E006', f'No pool {command.pool!r}.')
     state.instances[command.instance] = Instance(command.instance, command.pool)
     reassign_instance(
-        state.plans.maintenance,
+        state.subsystems.maintenance,
         command.instance,
         command.pool,
         state.log_index,
@@ -180,5 +180,5 @@
             'fleet.E009',
             f'No instance {command.instance!r}.',
         )
-    forget_instance(state.plans.maintenance, command.instance)
+    forget_instance(state.subsystems.maintenance, command.instance)
     return accept(state)
--- a/src/sardinemast/fleet/_state.py
+++ b/src/sardinemast/fleet/_state.py
@@ -84,7 +84,7 @@
     findings: tuple[DocumentFinding, ...] = ()
 
 
-class RememberedCommand(NamedTuple):
+class RecentCommand(NamedTuple):
     """Hold what a command id stood for and what it was answered.
 
     ``noted_s`` is the wall time of the log when the command was applied.
@@ -115,17 +115,17 @@
     instances: tuple[Instance, ...]
     entries: tuple[EntryProcess, ...]
     grants: tuple[Grant, ...]
-    remembered: tuple[RememberedCommand, ...]
+    recent_commands: tuple[RecentCommand, ...]
     history: tuple[VersionRecord, ...] = ()
     wall_s: float = 0
     granted_totals: Mapping[str, int] = MappingProxyType({})
-    key_holders: tuple[EntryProcess, ...] = ()
+    idempotency_entries: tuple[EntryProcess, ...] = ()
     maintenance: MaintenanceImage = EMPTY_MAINTENANCE
     placement: PlacementImage = EMPTY_PLACEMENT
     jobs: JobsImage = EMPTY_JOBS
 
 
-class Plans(NamedTuple):
+class SubsystemStates(NamedTuple):
     """Hold what is planned for instances and jobs."""
 
     maintenance: MaintenanceState
@@ -134,16 +134,17 @@
 
 
 class FleetState:
-    """Hold the state at one log index.
+    """Hold the replicated state at one log index.
 
-    ``key_holders`` holds, by name, the newest registration of each entry that
-    ever was one; among these are the holders of idempotency keys. An entry
-    that is retired stays, or two entries that learn of the same epoch before
-    and after it would choose different holders, and a resend could run again.
-    ``granted_totals`` holds, by team, the sum over all holders of grants; an
-    entry knows it too, though of grants it has only its own.
+    ``idempotency_entries`` maps a name to the latest registration of each
+    entry that was ever registered. The holders of an idempotency key are
+    chosen among them. Retired entries stay: otherwise two entries could choose
+    different holders in one epoch, and a resent request could run twice.
 
-    ``wall_s`` is the wall time that the log's commands have told.
+    ``granted_totals`` is the sum of all grants of a team. An entry has the
+    totals too, but only its own grants.
+
+    ``wall_s`` is the latest wall time recorded in the log.
     """
 
     def __init__(self) -> None:
@@ -155,12 +156,12 @@
         self.keys_by_digest: dict[bytes, KeyRecord] = {}
         self.instances: dict[str, Instance] = {}
         self.entries: dict[str, EntryProcess] = {}
-        self.key_holders: dict[str, EntryProcess] = {}
+        self.idempotency_entries: dict[str, EntryProcess] = {}
         self.grants: dict[tuple[str, int, str], Grant] = {}
         self.granted_totals: dict[str, int] = {}
-        self.remembered: dict[str, RememberedCommand] = {}
+        self.recent_commands: dict[str, RecentCommand] = {}
         self.history: dict[int, VersionRecord] = {}
-        self.plans = Plans(
+        self.subsystems = SubsystemStates(
             MaintenanceState(),
             PlacementState(),
             JobsState(),
@@ -177,14 +178,14 @@
         tuple(state.instances.values()),
         tuple(state.entries.values()),
         tuple(state.grants.values()),
-        tuple(state.remembered.values()),
+        tuple(state.recent_commands.values()),
         tuple(state.history.values()),
         state.wall_s,
         dict(state.granted_totals),
-        tuple(state.key_holders.values()),
-        dump_maintenance(state.plans.maintenance),
-        dump_placement(state.plans.placement),
-        dump_jobs(state.plans.jobs),
+        tuple(state.idempotency_entries.values()),
+        dump_maintenance(state.subsystems.maintenance),
+        dump_placement(state.subsystems.placement),
+        dump_jobs(state.subsystems.jobs),
     )
 
 
@@ -203,11 +204,15 @@
         (grant.entry, grant.incarnation, grant.team): grant
         for grant in image.grants
     }
-    state.remembered = {one.command_id: one for one in image.remembered}
+    state.recent_commands = {
+        one.command_id: one for one in image.recent_commands
+    }
     state.history = {one.version: one for one in image.history}
     state.granted_totals = dict(image.granted_totals)
-    state.key_holders = {one.name: one for one in image.key_holders}
-    state.plans = Plans(
+    state.idempotency_entries = {
+        one.name: one for one in image.idempotency_entries
+    }
+    state.subsystems = SubsystemStates(
         load_maintenance(image.maintenance),
         load_placement(image.placement),
         load_jobs(image.jobs),
--- a/src/sardinemast/fleet/_plan_commands.py
+++ b/src/sardinemast/fleet/_subsystem_commands.py
@@ -1,10 +1,10 @@
 """Commands of maintenance, placement and jobs on the fleet's state."""
 
 from sardinemast import jobs, maintenance, placement
-from sardinemast.fleet._dispatch import accept, execute_command, refuse
+from sardinemast.fleet._execution import accept, execute_command, refuse
 from sardinemast.fleet._state import FleetState, Instance, Outcome
 
-PLAN_CLASSES = (
+SUBSYSTEM_COMMAND_CLASSES = (
     *maintenance.COMMAND_CLASSES,
     *placement.COMMAND_CLASSES,
     *jobs.COMMAND_CLASSES,
@@ -16,7 +16,7 @@
     state: FleetState,
 ) -> Outcome:
     refusal = maintenance.apply_command(
-        state.plans.maintenance,
+        state.subsystems.maintenance,
         command,
         state.log_index,
     )
@@ -31,19 +31,21 @@
     command: placement.Command,
     state: FleetState,
 ) -> Outcome:
-    placement.apply_command(state.plans.placement, command, state.log_index)
+    placement.apply_command(
+        state.subsystems.placement, command, state.log_index
+    )
     return accept(state)
 
 
 def _execute_jobs(command: jobs.Command, state: FleetState) -> Outcome:
-    jobs.apply_command(command, state.plans.jobs, state.log_index)
+    jobs.apply_command(command, state.subsystems.jobs, state.log_index)
     return accept(state)
 
 
 def _follow_pools(state: FleetState) -> None:
     # Entries route by the fleet's instances. If a move changed only the
     # maintenance state, an instance would stand in two pools.
-    for planned in state.plans.maintenance.instances.values():
+    for planned in state.subsystems.maintenance.instances.values():
         known = state.instances.get(planned.name)
         if known is not None and known.pool != planned.pool:
             state.instances[planned.name] = Instance(
--- a/src/sardinemast/fleet/_time_commands.py
+++ b/src/sardinemast/fleet/_time_commands.py
@@ -2,18 +2,18 @@
 
 from typing import NamedTuple
 
-from sardinemast.fleet._dispatch import accept, execute_command
 from sardinemast.fleet._documents import EMPTY_DOCUMENT, FleetDocument
+from sardinemast.fleet._execution import accept, execute_command
 from sardinemast.fleet._state import (
     FleetState,
     Outcome,
-    RememberedCommand,
+    RecentCommand,
     VersionRecord,
 )
 
 _DAY_S = 86_400
-REMEMBERED_DAYS = 7
-MAX_REMEMBERED = 20_000
+COMMAND_RETENTION_DAYS = 7
+MAX_RECENT_COMMANDS = 20_000
 MAX_VERSIONS = 32
 
 
@@ -27,11 +27,11 @@
     wall_s: float
 
 
-def remember(state: FleetState, command: RememberedCommand) -> None:
+def remember(state: FleetState, command: RecentCommand) -> None:
     """Keep the answer, and drop the oldest beyond the bound."""
-    state.remembered[command.command_id] = command
-    while len(state.remembered) > MAX_REMEMBERED:
-        state.remembered.pop(next(iter(state.remembered)))
+    state.recent_commands[command.command_id] = command
+    while len(state.recent_commands) > MAX_RECENT_COMMANDS:
+        state.recent_commands.pop(next(iter(state.recent_commands)))
 
 
 def keep_version(state: FleetState, command_id: str) -> None:
@@ -60,12 +60,12 @@
 @execute_command.register
 def _advance(command: AdvanceTime, state: FleetState) -> Outcome:
     state.wall_s = max(state.wall_s, command.wall_s)
-    forgotten_s = state.wall_s - REMEMBERED_DAYS * _DAY_S
+    forgotten_s = state.wall_s - COMMAND_RETENTION_DAYS * _DAY_S
     # Commands stand in the order of their times, so the first that is young
     # enough ends the search.
-    while state.remembered:
-        oldest = next(iter(state.remembered.values()))
+    while state.recent_commands:
+        oldest = next(iter(state.recent_commands.values()))
         if oldest.noted_s >= forgotten_s:
             break
-        state.remembered.pop(oldest.command_id)
+        state.recent_commands.pop(oldest.command_id)
     return accept(state)
--- a/src/sardinemast/fleet/commands.py
+++ b/src/sardinemast/fleet/commands.py
@@ -5,8 +5,8 @@
 import cbor2
 
 from sardinemast import jobs, maintenance, placement
-from sardinemast.fleet._dispatch import execute_command, refuse
 from sardinemast.fleet._entry_commands import RegisterEntry, RetireEntry
+from sardinemast.fleet._execution import execute_command, refuse
 from sardinemast.fleet._grant_commands import (
     ChangeGrants,
     GrantChange,
@@ -23,8 +23,8 @@
     RestoreVersion,
     WithdrawKey,
 )
-from sardinemast.fleet._plan_commands import PLAN_CLASSES
-from sardinemast.fleet._state import FleetState, Outcome, RememberedCommand
+from sardinemast.fleet._state import FleetState, Outcome, RecentCommand
+from sardinemast.fleet._subsystem_commands import SUBSYSTEM_COMMAND_CLASSES
 from sardinemast.fleet._time_commands import AdvanceTime, remember
 from sardinemast.wire import MessageSet
 
@@ -59,7 +59,7 @@
     HoldGrants,
     NoteTotals,
     AdvanceTime,
-    *PLAN_CLASSES,
+    *SUBSYSTEM_COMMAND_CLASSES,
 )
 
 __all__ = (
@@ -93,12 +93,12 @@
     if not command_id:
         return execute_command(command, state)
     digest = _digest(command)
-    known = state.remembered.get(command_id)
+    known = state.recent_commands.get(command_id)
     if known is None:
         outcome = execute_command(command, state)
         remember(
             state,
-            RememberedCommand(command_id, digest, outcome, state.wall_s),
+            RecentCommand(command_id, digest, outcome, state.wall_s),
         )
         return outcome
     if known.digest == digest:
@@ -113,7 +113,7 @@
 def is_known_command(state: FleetState, command: Command) -> bool:
     """Tell whether the id was seen, so that applying changes nothing."""
     command_id = getattr(command, 'command_id', '')
-    return command_id in state.remembered
+    return command_id in state.recent_commands
 
 
 def _digest(command: Command) -> bytes:
--- a/src/sardinemast/jobs/_apply.py
+++ b/src/sardinemast/jobs/_apply.py
@@ -3,7 +3,7 @@
 from functools import singledispatch
 
 from sardinemast.jobs import commands
-from sardinemast.jobs._apply_plans import (
+from sardinemast.jobs._apply_maintenance import (
     declare_wave,
     note_move,
     note_upkeep,
@@ -103,11 +103,11 @@
     # An instance has one worker at a time, and so has an address. Without
     # this the tasks of one that was replaced would wait for the end of its
     # lease.
-    for other in state.places.list_beside(worker):
+    for other in state.worker_index.list_beside(worker):
         if worker.boot_ms > other.boot_ms:
             _forget_worker(state, other)
     if worker.instance:
-        state.homes.setdefault(worker.instance, worker.pool)
+        state.home_pools.setdefault(worker.instance, worker.pool)
 
 
 @apply_command.register
@@ -181,11 +181,11 @@
     job = state.get_job(step)
     if job.is_over:
         return
-    if end is RunEnd.done and not step.step.is_lasting:
+    if end is RunEnd.done and not step.spec.is_long_running:
         _finish_task(state, job, step, index)
         return
     step.waiting[index] = None
-    if end is RunEnd.failed and not step.step.is_lasting:
+    if end is RunEnd.failed and not step.spec.is_long_running:
         _note_failure(state, job, step, index)
 
 
@@ -197,11 +197,11 @@
 ) -> None:
     step.done.add(index)
     step.checkpoints.pop(index, None)
-    if step.step.is_gang:
+    if step.spec.is_gang:
         # One end stands for all members: they work and end only together.
         for member in tuple(step.running):
             state.remove_run(step, member)
-        step.done.update(range(step.step.task_count))
+        step.done.update(range(step.spec.task_count))
         step.waiting.clear()
     if step.is_done:
         state.ready.pop(step.key, None)
@@ -227,13 +227,13 @@
     index: int,
 ) -> None:
     # The members of a gang fail together, and that is one failed attempt.
-    counted = 0 if step.step.is_gang else index
+    counted = 0 if step.spec.is_gang else index
     number = step.numbers[index]
-    if step.step.is_gang and step.failures.get(-1) == number:
+    if step.spec.is_gang and step.failures.get(-1) == number:
         return
     step.failures[-1] = number
     step.failures[counted] = step.failures.get(counted, 0) + 1
-    if step.failures[counted] >= job.queue.attempts:
+    if step.failures[counted] >= job.queue.max_attempts:
         job.is_failed = True
         _close(state, job)
 
--- a/src/sardinemast/jobs/_apply_plans.py
+++ b/src/sardinemast/jobs/_apply_maintenance.py
@@ -1,7 +1,7 @@
 """Apply commands about instances: waves of maintenance, and moves."""
 
 from sardinemast.jobs import commands
-from sardinemast.jobs._records import UpkeepStatus, Wave, WaveItem
+from sardinemast.jobs._records import MaintenanceStatus, Wave, WaveItem
 from sardinemast.jobs._state import JobsState
 
 
@@ -27,7 +27,7 @@
     log_index: int,
 ) -> None:
     """Note how far an instance of a wave is."""
-    state.ordered_ms[command.instance] = command.noted_ms
+    state.last_order_ms[command.instance] = command.noted_ms
     wave = state.waves.get(command.wave)
     if wave is None:
         return
@@ -37,7 +37,7 @@
             boot_ms=command.boot_ms or item.boot_ms,
         )
         if item.instance == command.instance
-        and item.status is not UpkeepStatus.done
+        and item.status is not MaintenanceStatus.done
         else item
         for item in wave.items
     )
@@ -50,6 +50,6 @@
     log_index: int,
 ) -> None:
     """Note that an instance is moved."""
-    state.ordered_ms[command.instance] = command.noted_ms
+    state.last_order_ms[command.instance] = command.noted_ms
     # An instance that stood by has no home; it goes where it is needed.
-    state.homes.setdefault(command.instance, '')
+    state.home_pools.setdefault(command.instance, '')
--- a/src/sardinemast/jobs/_chains.py
+++ b/src/sardinemast/jobs/_critical_paths.py
@@ -3,7 +3,7 @@
 from sardinemast.jobs._records import Step
 
 
-def get_chains_ms(steps: tuple[Step, ...]) -> tuple[int, ...]:
+def compute_critical_paths_ms(steps: tuple[Step, ...]) -> tuple[int, ...]:
     """Give for each step the longest chain of work that begins with it."""
     chains = [step.estimate_ms for step in steps]
     for number in reversed(range(len(steps))):
--- a/src/sardinemast/jobs/_free_room.py
+++ b/src/sardinemast/jobs/_free_capacity.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from sardinemast.jobs._records import NO_SIZE, Worker
+from sardinemast.jobs._records import ZERO_SIZE, Worker
 from sardinemast.placement import Size
 
 
@@ -15,7 +15,7 @@
     worker: str
 
 
-class FreeRoom:
+class FreeCapacity:
     """Hold what each worker has free, and follow each change.
 
     A pool's workers stay sorted, so that the fullest one with room for a
@@ -30,7 +30,7 @@
     def put(self, worker: Worker, used: Size) -> None:
         """Take in a worker, or what has changed of it."""
         self.drop(worker.name)
-        free = worker.room.plus(used, -1)
+        free = worker.capacity.plus(used, -1)
         self._free[worker.name] = free
         self._pools[worker.name] = worker.pool
         places = self._places.setdefault(worker.pool, [])
@@ -57,7 +57,7 @@
 
     def get(self, worker: str) -> Size:
         """Give what a worker has free, nothing where it is not known."""
-        return self._free.get(worker, NO_SIZE)
+        return self._free.get(worker, ZERO_SIZE)
 
     def iterate_fitting(self, pool: str, size: Size) -> Iterator[str]:
         """Give the workers with room for a size, the fullest one first."""
@@ -71,9 +71,9 @@
         """Give all workers of a pool."""
         return [place.worker for place in self._places.get(pool, [])]
 
-    def copy(self) -> 'FreeRoom':
+    def copy(self) -> 'FreeCapacity':
         """Give a picture that may be changed while a plan is made."""
-        copied = FreeRoom()
+        copied = FreeCapacity()
         copied._free = dict(self._free)
         copied._pools = dict(self._pools)
         copied._places = {
--- a/src/sardinemast/jobs/_images.py
+++ b/src/sardinemast/jobs/_images.py
@@ -54,8 +54,8 @@
     ended: tuple[JobImage, ...] = ()
     workers: tuple[Worker, ...] = ()
     waves: tuple[Wave, ...] = ()
-    homes: Mapping[str, str] = MappingProxyType({})
-    ordered_ms: Mapping[str, int] | None = None
+    home_pools: Mapping[str, str] = MappingProxyType({})
+    last_order_ms: Mapping[str, int] | None = None
 
 
 EMPTY_IMAGE = JobsImage()
@@ -70,8 +70,8 @@
         tuple(_dump_job(state.jobs[name]) for name in state.ended),
         tuple(state.workers.values()),
         tuple(state.waves.values()),
-        dict(state.homes),
-        dict(state.ordered_ms),
+        dict(state.home_pools),
+        dict(state.last_order_ms),
     )
 
 
@@ -82,8 +82,8 @@
     for worker in image.workers:
         state.put_worker(worker)
     state.waves = {wave.number: wave for wave in image.waves}
-    state.homes = dict(image.homes)
-    state.ordered_ms = _load_order_times(image)
+    state.home_pools = dict(image.home_pools)
+    state.last_order_ms = _load_order_times(image)
     for live in image.live:
         job = _load_job(state, live)
         state.live[job.name] = job
@@ -97,11 +97,11 @@
 
 
 def _load_order_times(image: JobsImage) -> dict[str, int]:
-    if image.ordered_ms is None:
+    if image.last_order_ms is None:
         # An older version took the snapshot; any instance may have had an
         # order a moment before.
-        return dict.fromkeys(image.homes, 0)
-    return dict(image.ordered_ms)
+        return dict.fromkeys(image.home_pools, 0)
+    return dict(image.last_order_ms)
 
 
 def _dump_job(job: JobState) -> JobImage:
--- a/src/sardinemast/jobs/_records.py
+++ b/src/sardinemast/jobs/_records.py
@@ -5,16 +5,16 @@
 
 from sardinemast.placement import Size
 
-NO_SIZE = Size(0, 0)
+ZERO_SIZE = Size(0, 0)
 
 
 class Step(NamedTuple):
-    """Describe the tasks of one step of a job.
+    """Describe a step of a job: a set of equal tasks.
 
-    ``size`` is what each task takes. ``worker_max`` is how many tasks of the
-    step one worker may run, 0 for any number. ``may_miss`` is how many tasks
-    of a lasting step may be away at once by our own doing. A filler's
-    processor time is not counted against the worker's room.
+    ``size`` is the demand of one task. ``max_per_worker`` limits the tasks of
+    the step on one worker; 0 is no limit. ``max_unavailable`` limits how many
+    tasks of a long-running step may be down when the dispatcher stops one. The
+    processor time of a best-effort step is not reserved on its worker.
     """
 
     task_count: int
@@ -26,18 +26,18 @@
     is_same_rack: bool = False
     required_label: str = ''
     data_rack: str = ''
-    worker_max: int = 0
-    may_overlap: bool = False
-    is_lasting: bool = False
+    max_per_worker: int = 0
+    allows_speculation: bool = False
+    is_long_running: bool = False
     image: str = ''
-    tail_limit_ms: int = 0
-    is_filler: bool = False
-    may_miss: int = 0
+    tail_latency_limit_ms: int = 0
+    is_best_effort: bool = False
+    max_unavailable: int = 0
 
     @property
-    def room_size(self) -> Size:
+    def reserved_size(self) -> Size:
         """Give what a task takes of its worker's room."""
-        if self.is_filler:
+        if self.is_best_effort:
             return self.size._replace(millicores=0)
         return self.size
 
@@ -61,14 +61,14 @@
 
 
 class Advice(NamedTuple):
-    """Say that an outside policy allows the workers of a queue's steps.
+    """Configure the external policy that permits the starts of a queue.
 
-    An answer takes ``decide_ms`` and ``each_ms`` for each worker asked for;
-    a ticket counts for ``valid_ms``.
+    The policy answers after ``decide_ms`` plus ``per_worker_ms`` for each
+    worker in the request. A ticket is valid for ``valid_ms``.
     """
 
     decide_ms: int
-    each_ms: int
+    per_worker_ms: int
     valid_ms: int
 
 
@@ -86,7 +86,7 @@
     timeout_ms: int
     target_ms: int = 0
     priority: int = 0
-    attempts: int = 1
+    max_attempts: int = 1
     stretch: float = 1
     is_public: bool = False
     advice: Advice | None = None
@@ -99,7 +99,7 @@
     """
 
     name: str
-    guards_room: bool = True
+    rejects_overload: bool = True
     is_standby: bool = False
 
 
@@ -113,7 +113,7 @@
     keys: tuple[str, ...] = ()
     priority: int = 0
     weight: float = 1
-    cap: Size = NO_SIZE
+    cap: Size = ZERO_SIZE
 
 
 class Catalog(NamedTuple):
@@ -141,7 +141,7 @@
     data_centre: str
     rack: str
     labels: tuple[str, ...]
-    room: Size
+    capacity: Size
     instance: str = ''
     is_draining: bool = False
 
@@ -196,7 +196,7 @@
     cancelled = 'cancelled'
 
 
-class UpkeepStatus(StrEnum):
+class MaintenanceStatus(StrEnum):
     """How far the maintenance of one instance in a wave is."""
 
     waiting = 'waiting'
@@ -209,7 +209,7 @@
     """Hold one instance of a wave, and the boot that an order takes down."""
 
     instance: str
-    status: UpkeepStatus = UpkeepStatus.waiting
+    status: MaintenanceStatus = MaintenanceStatus.waiting
     boot_ms: int = 0
 
 
--- a/src/sardinemast/jobs/_state.py
+++ b/src/sardinemast/jobs/_state.py
@@ -3,11 +3,11 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from sardinemast.jobs._chains import get_chains_ms
-from sardinemast.jobs._free_room import FreeRoom
+from sardinemast.jobs._critical_paths import compute_critical_paths_ms
+from sardinemast.jobs._free_capacity import FreeCapacity
 from sardinemast.jobs._records import (
     EMPTY_CATALOG,
-    NO_SIZE,
+    ZERO_SIZE,
     Catalog,
     JobRequest,
     JobStatus,
@@ -20,7 +20,7 @@
     Wave,
     Worker,
 )
-from sardinemast.jobs._worker_places import WorkerPlaces
+from sardinemast.jobs._worker_index import WorkerIndex
 from sardinemast.placement import Size
 
 
@@ -38,14 +38,14 @@
         'key',
         'numbers',
         'running',
-        'step',
+        'spec',
         'waiting',
     )
 
-    def __init__(self, key: StepKey, step: Step) -> None:
+    def __init__(self, key: StepKey, spec: Step) -> None:
         self.key = key
-        self.step = step
-        self.waiting: dict[int, None] = dict.fromkeys(range(step.task_count))
+        self.spec = spec
+        self.waiting: dict[int, None] = dict.fromkeys(range(spec.task_count))
         self.running: dict[int, Run] = {}
         self.done: set[int] = set()
         self.numbers: dict[int, int] = {}
@@ -55,7 +55,7 @@
     @property
     def is_done(self) -> bool:
         """Tell whether every task has ended well."""
-        return len(self.done) == self.step.task_count
+        return len(self.done) == self.spec.task_count
 
     def get_task(self, index: int) -> TaskKey:
         """Name one of the tasks."""
@@ -63,7 +63,7 @@
 
     def get_next_number(self, index: int) -> int:
         """Give the number of the task's next run; a gang shares one."""
-        if self.step.is_gang:
+        if self.spec.is_gang:
             return max(self.numbers.values(), default=0) + 1
         return self.numbers.get(index, 0) + 1
 
@@ -74,21 +74,21 @@
         """
         if index not in self.waiting:
             return False
-        if self.step.is_gang and self.running:
+        if self.spec.is_gang and self.running:
             numbers = {run.number for run in self.running.values()}
             return numbers == {number} and self.numbers.get(index, 0) < number
         return number == self.get_next_number(index)
 
 
 class JobState:
-    """Hold one job, and the steps of each occurrence that has begun.
+    """Hold a job and the steps of each occurrence that has begun.
 
-    ``chains_ms`` holds, by step, the longest chain of declared work that
-    begins with it.
+    ``critical_paths_ms`` holds, by step, the estimated length of the critical
+    path from the start of that step to the end of the job.
     """
 
     __slots__ = (
-        'chains_ms',
+        'critical_paths_ms',
         'is_done',
         'has_begun',
         'is_cancelled',
@@ -117,7 +117,7 @@
         self.request = request
         self.log_index = log_index
         self.submitted_ms = submitted_ms
-        self.chains_ms = get_chains_ms(request.steps)
+        self.critical_paths_ms = compute_critical_paths_ms(request.steps)
         self.is_done = False
         self.has_begun = False
         self.is_cancelled = False
@@ -152,7 +152,7 @@
     def is_ready(self, step: StepState) -> bool:
         """Tell whether all steps that this one needs are done."""
         steps = self.steps[step.key.occurrence]
-        return all(steps[needed].is_done for needed in step.step.depends_on)
+        return all(steps[needed].is_done for needed in step.spec.depends_on)
 
     def iterate_steps(self) -> Iterator[StepState]:
         """Go through the steps of all occurrences that have begun."""
@@ -161,52 +161,56 @@
 
 
 class Usage:
-    """Hold what runs take, by worker and by team.
+    """Hold the resources that runs use, by worker and by team.
 
-    ``fillers`` and ``servers`` count the runs at each worker that fill unused
-    room, and those that serve users of their own and are disturbed by these.
+    ``best_effort_counts`` counts the best-effort runs on each worker.
+    ``latency_sensitive_counts`` counts the runs that have a limit on their
+    tail latency, which best-effort runs may disturb.
     """
 
     def __init__(self) -> None:
         self.by_worker: dict[str, Size] = {}
-        self.free = FreeRoom()
+        self.free = FreeCapacity()
         self.by_team: dict[str, Size] = {}
-        self.fillers: Counter[str] = Counter()
-        self.servers: Counter[str] = Counter()
+        self.best_effort_counts: Counter[str] = Counter()
+        self.latency_sensitive_counts: Counter[str] = Counter()
 
     def charge(self, step: Step, worker: str, team: str, sign: int) -> None:
         """Count a run with 1, and its end with -1."""
-        used = self.by_team.get(team, NO_SIZE)
+        used = self.by_team.get(team, ZERO_SIZE)
         self.by_team[team] = used.plus(step.size, sign)
-        taken = self.by_worker.get(worker, NO_SIZE)
-        self.by_worker[worker] = taken.plus(step.room_size, sign)
-        self.free.change(worker, step.room_size, -sign)
-        if step.is_filler:
-            self.fillers[worker] += sign
-        if step.tail_limit_ms:
-            self.servers[worker] += sign
+        taken = self.by_worker.get(worker, ZERO_SIZE)
+        self.by_worker[worker] = taken.plus(step.reserved_size, sign)
+        self.free.change(worker, step.reserved_size, -sign)
+        if step.is_best_effort:
+            self.best_effort_counts[worker] += sign
+        if step.tail_latency_limit_ms:
+            self.latency_sensitive_counts[worker] += sign
 
     def put_worker(self, worker: Worker) -> None:
         """Take in a worker, or what has changed of it."""
-        self.free.put(worker, self.by_worker.get(worker.name, NO_SIZE))
+        self.free.put(worker, self.by_worker.get(worker.name, ZERO_SIZE))
 
     def forget_worker(self, worker: str) -> None:
         """Drop a worker whose runs have all ended."""
         self.free.drop(worker)
         self.by_worker.pop(worker, None)
-        self.fillers.pop(worker, None)
-        self.servers.pop(worker, None)
+        self.best_effort_counts.pop(worker, None)
+        self.latency_sensitive_counts.pop(worker, None)
 
 
 class JobsState:
     """Hold catalog, jobs, workers and waves at one log index.
 
-    ``ready`` holds the steps whose tasks may start. ``runs`` holds, by
-    worker, each task that may still run there. ``ended`` holds jobs that are
-    over, the first one first. ``homes`` holds, by instance, the pool that it
-    was in before it was first moved. ``ordered_ms`` holds, by instance, the
-    time of day at which an order for it was last noted, 0 where only an older
-    version knew it.
+    ``live`` holds the jobs that are not over, ``ended`` the names of those
+    that are, in the order of their ends. ``ready`` holds the steps whose tasks
+    may start. ``runs`` maps a worker to the tasks that may still run there,
+    with their run numbers.
+
+    ``home_pools`` maps an instance to the pool of its first worker; it is
+    empty for an instance that was first seen in a move. ``last_order_ms`` maps
+    an instance to the Unix time of its latest maintenance or move order; 0 is
+    unknown, as in snapshots of older versions.
     """
 
     def __init__(self) -> None:
@@ -220,12 +224,12 @@
         self.live: dict[str, JobState] = {}
         self.ready: dict[StepKey, StepState] = {}
         self.workers: dict[str, Worker] = {}
-        self.places = WorkerPlaces()
+        self.worker_index = WorkerIndex()
         self.runs: dict[str, dict[TaskKey, int]] = {}
         self.usage = Usage()
         self.waves: dict[int, Wave] = {}
-        self.homes: dict[str, str] = {}
-        self.ordered_ms: dict[str, int] = {}
+        self.home_pools: dict[str, str] = {}
+        self.last_order_ms: dict[str, int] = {}
 
     def put_catalog(self, catalog: Catalog, source: bytes) -> None:
         """Put a catalog in force; live jobs follow their queues."""
@@ -243,15 +247,15 @@
         """Take in a worker, or what has changed of it."""
         known = self.workers.get(worker.name)
         if known is not None:
-            self.places.drop(known)
+            self.worker_index.drop(known)
         self.workers[worker.name] = worker
-        self.places.put(worker)
+        self.worker_index.put(worker)
         self.runs.setdefault(worker.name, {})
         self.usage.put_worker(worker)
 
     def drop_worker(self, name: str) -> None:
         """Forget a worker whose runs have all ended."""
-        self.places.drop(self.workers.pop(name))
+        self.worker_index.drop(self.workers.pop(name))
         self.runs.pop(name, None)
         self.usage.forget_worker(name)
 
@@ -291,4 +295,4 @@
 
     def _charge(self, step: StepState, worker: str, sign: int) -> None:
         team = self.get_job(step).team
-        self.usage.charge(step.step, worker, team, sign)
+        self.usage.charge(step.spec, worker, team, sign)
--- a/src/sardinemast/jobs/_worker_places.py
+++ b/src/sardinemast/jobs/_worker_index.py
@@ -7,7 +7,7 @@
 _Names = dict[str, dict[str, Worker]]
 
 
-class WorkerPlaces:
+class WorkerIndex:
     """Find workers by where they live, without a look at all others."""
 
     def __init__(self) -> None:
--- a/src/sardinemast/jobs/commands.py
+++ b/src/sardinemast/jobs/commands.py
@@ -5,9 +5,9 @@
 from sardinemast.jobs._records import (
     Catalog,
     JobRequest,
+    MaintenanceStatus,
     RunEnd,
     TaskKey,
-    UpkeepStatus,
     Worker,
 )
 
@@ -66,7 +66,7 @@
     worker: str
 
 
-class RunOver(NamedTuple):
+class FinishedRun(NamedTuple):
     """Say how a run ended, and the checkpoint that it left."""
 
     task: TaskKey
@@ -78,7 +78,7 @@
 class RecordRuns(NamedTuple):
     """Record ends and then starts, each only where it still fits."""
 
-    ends: tuple[RunOver, ...]
+    ends: tuple[FinishedRun, ...]
     starts: tuple[RunStart, ...]
 
 
@@ -100,7 +100,7 @@
 
     wave: int
     instance: str
-    status: UpkeepStatus
+    status: MaintenanceStatus
     boot_ms: int = 0
     noted_ms: int = 0
 
--- a/src/sardinemast/jobs/queries.py
+++ b/src/sardinemast/jobs/queries.py
@@ -19,7 +19,7 @@
     return state.teams_by_key.get(key)
 
 
-def count_waiting(state: JobsState, queue: str) -> int:
+def count_queued_jobs(state: JobsState, queue: str) -> int:
     """Give how many accepted jobs of a queue have not begun."""
     return sum(
         job.queue.name == queue and job.status is JobStatus.queued
--- a/src/sardinemast/model/_orders.py
+++ b/src/sardinemast/model/_orders.py
@@ -110,9 +110,9 @@
         step = self._state.find_step(order.task)
         if model is None or step is None:
             return
-        truth = self._get_truth(model, order, step.step)
+        truth = self._get_truth(model, order, step.spec)
         now_s = self._clock.now_s
-        room = step.step.room_size.millicores
+        room = step.spec.reserved_size.millicores
         answer = model.start(order, room, truth.run_s, now_s)
         reply(
             RunAnswered(
@@ -139,7 +139,7 @@
     ) -> TrueTask:
         if model.is_failing:
             return TrueTask(_FAILING_S, fails=True)
-        if step.is_lasting:
+        if step.is_long_running:
             return TrueTask(float('inf'))
         tasks = self._truths[order.task.job].tasks
         truth = tasks[order.task.step][order.task.position]
--- a/src/sardinemast/model/_patterns.py
+++ b/src/sardinemast/model/_patterns.py
@@ -148,7 +148,7 @@
             queue.pool,
             timeout_ms=_CALL_TIMEOUT_MS,
             target_ms=queue.target_ms,
-            attempts=3,
+            max_attempts=3,
             stretch=queue.stretch,
         )
         for queue in day.queues
@@ -276,16 +276,16 @@
     serving = Step(
         queue.lasting,
         Size(int(queue.lasting_cores * _MS), queue.lasting_mib * _MIB),
-        is_lasting=True,
-        may_miss=queue.lasting_missing,
-        tail_limit_ms=100,
+        is_long_running=True,
+        max_unavailable=queue.lasting_missing,
+        tail_latency_limit_ms=100,
         image=f'{queue.name}-serving',
     )
     filler = Step(
         queue.fillers,
         Size(int(queue.lasting_cores * _MS), _FILLER_MIB * _MIB),
-        is_lasting=True,
-        is_filler=True,
+        is_long_running=True,
+        is_best_effort=True,
         image=f'{queue.name}-filler',
     )
     steps = (serving, filler) if queue.fillers else (serving,)
--- a/src/sardinemast/model/_workers.py
+++ b/src/sardinemast/model/_workers.py
@@ -101,7 +101,7 @@
         if order.fence < self._fence:
             return StartAnswer(OrderOutcome.refused, 'fence')
         used = sum(run.millicores for run in self.running.values())
-        if used + millicores > self.worker.room.millicores:
+        if used + millicores > self.worker.capacity.millicores:
             return StartAnswer(OrderOutcome.refused, 'room')
         ends_s = now_s + length_s * self.slowness
         run = ModelRun(order.number, millicores, now_s, ends_s)
--- a/src/sardinemast/platform/_translate.py
+++ b/src/sardinemast/platform/_translate.py
@@ -175,13 +175,13 @@
         is_same_rack=body.get('same_rack', False),
         required_label=body.get('required_label', ''),
         data_rack=body.get('affinity', ''),
-        worker_max=body.get('max_per_server', 0),
-        may_overlap=body.get('speculative', False),
-        is_lasting=body.get('long_running', False),
+        max_per_worker=body.get('max_per_server', 0),
+        allows_speculation=body.get('speculative', False),
+        is_long_running=body.get('long_running', False),
         image=body.get('image', ''),
-        tail_limit_ms=body.get('tail_latency_ms', 0),
-        is_filler=body.get('fills', False),
-        may_miss=body.get('may_miss', 0),
+        tail_latency_limit_ms=body.get('tail_latency_ms', 0),
+        is_best_effort=body.get('fills', False),
+        max_unavailable=body.get('may_miss', 0),
     )
 
 
--- a/src/sardinemast/routing/_picker.py
+++ b/src/sardinemast/routing/_picker.py
@@ -211,5 +211,5 @@
         and one.pool == pool_name
         and placed is not None
         and placed.pool == pool_name
-        and takes_work(state.plans.maintenance, one.instance)
+        and takes_work(state.subsystems.maintenance, one.instance)
     )
--- a/src/sardinemast/shell/_entry.py
+++ b/src/sardinemast/shell/_entry.py
@@ -183,7 +183,7 @@
 
     def _take_control(self, event: entry.EntryEvent) -> None:
         self.loop.put(event)
-        self.peers.take_entries(self.core.state.key_holders.values())
+        self.peers.take_entries(self.core.state.idempotency_entries.values())
 
     @singledispatchmethod
     def _execute(self, output: entry.EntryOutput) -> None:
--- a/tests/builders/workers.py
+++ b/tests/builders/workers.py
@@ -82,7 +82,7 @@
                 POOL,
                 timeout_ms=3000,
                 target_ms=600,
-                attempts=2,
+                max_attempts=2,
                 stretch=2,
                 advice=advice,
             ),
@@ -330,7 +330,7 @@
                 and not self._is_away(name),
                 is_down=name in self.instances.down,
             )
-            for name in self.state.homes
+            for name in self.state.home_pools
         ]
         off = [
             ListedInstance(name, STANDBY, is_up=not self._is_away(name))
--- a/tests/dispatch/test_dispatch_fuzz.py
+++ b/tests/dispatch/test_dispatch_fuzz.py
@@ -7,7 +7,7 @@
 
 from builders.election_rules import ElectionRules
 from builders.workers import CORE, TEAM, make_catalog, make_step, make_worker
-from sardinemast.jobs import NO_SIZE, TaskKey
+from sardinemast.jobs import ZERO_SIZE, TaskKey
 from sardinemast.jobs.commands import CancelJob, PutCatalog
 
 pytestmark = pytest.mark.fuzz
@@ -94,7 +94,7 @@
     @invariant()
     def stays_in_limit(self) -> None:
         """Check that what the log has running stays within the limit."""
-        used = self.fleet.state.usage.by_team.get(TEAM, NO_SIZE)
+        used = self.fleet.state.usage.by_team.get(TEAM, ZERO_SIZE)
         assert used.millicores <= _CAP
 
     @invariant()
@@ -102,7 +102,7 @@
         """Check that the room taken is that of the runs."""
         state = self.fleet.state
         runs = sum(len(one) for one in state.runs.values())
-        used = state.usage.by_team.get(TEAM, NO_SIZE)
+        used = state.usage.by_team.get(TEAM, ZERO_SIZE)
         assert used.millicores == runs * CORE
         for worker in state.workers.values():
             assert state.get_free(worker).millicores >= 0
--- a/tests/dispatch/test_maintenance_fuzz.py
+++ b/tests/dispatch/test_maintenance_fuzz.py
@@ -34,7 +34,7 @@
     @initialize()
     def start_lasting(self) -> None:
         """Run a step that may miss one of its four tasks."""
-        step = make_step(_LASTING, is_lasting=True, may_miss=1)
+        step = make_step(_LASTING, is_long_running=True, max_unavailable=1)
         self.fleet.run(1)
         self.fleet.submit('watch', step)
         self.fleet.run(2)
--- a/tests/dispatch/test_moves.py
+++ b/tests/dispatch/test_moves.py
@@ -4,7 +4,7 @@
 from sardinemast.dispatch import DispatchSettings
 from sardinemast.jobs import (
     EMPTY_IMAGE,
-    UpkeepStatus,
+    MaintenanceStatus,
     dump_state,
     load_state,
 )
@@ -66,7 +66,7 @@
     fleet = _make_full_fleet()
     fleet.commit(DeclareWave(1, ('spare',), 1, fleet.now_ms, 10**9))
     fleet.instances.refused.add('spare')
-    fleet.commit(NoteUpkeep(1, 'spare', UpkeepStatus.ordered))
+    fleet.commit(NoteUpkeep(1, 'spare', MaintenanceStatus.ordered))
     fleet.run(6)
     _elect_and_fill(fleet)
     fleet.run(_SETTLE_S - 0.5)
@@ -132,10 +132,10 @@
 
 def test_snapshot_of_an_older_version_has_no_dates() -> None:
     """The snapshot tells which instances were named, and not when."""
-    image = EMPTY_IMAGE._replace(homes={'m-1': POOL, 'spare': ''})
-    assert load_state(image).ordered_ms == {'m-1': 0, 'spare': 0}
-    dated = image._replace(ordered_ms={'spare': 7})
-    assert dump_state(load_state(dated)).ordered_ms == {'spare': 7}
+    image = EMPTY_IMAGE._replace(home_pools={'m-1': POOL, 'spare': ''})
+    assert load_state(image).last_order_ms == {'m-1': 0, 'spare': 0}
+    dated = image._replace(last_order_ms={'spare': 7})
+    assert dump_state(load_state(dated)).last_order_ms == {'spare': 7}
 
 
 def test_large_pool_gets_what_its_peak_lacks_in_one_go() -> None:
--- a/tests/dispatch/test_planner_load.py
+++ b/tests/dispatch/test_planner_load.py
@@ -57,7 +57,9 @@
     two, since a worker that runs something can't be switched off.
     """
     state = _make_state()
-    step = make_step(5, size=Size(6_000, 1), is_lasting=True, may_miss=1)
+    step = make_step(
+        5, size=Size(6_000, 1), is_long_running=True, max_unavailable=1
+    )
     for number in range(4):
         request = JobRequest('spec', (step,))
         submitted = SubmitJob(f'job-{number}', QUEUE, 'breizh', request, 0)
--- a/tests/dispatch/test_stragglers.py
+++ b/tests/dispatch/test_stragglers.py
@@ -167,7 +167,7 @@
     """
     fleet = ModelFleet()
     fleet.run(1)
-    fleet.submit('job', make_step(2, estimate_ms=600, is_filler=True))
+    fleet.submit('job', make_step(2, estimate_ms=600, is_best_effort=True))
     fleet.run(0.2)
     stuck = fleet.workers[fleet.get_runs(TASK)[0]]
     stuck.percent = 3
--- a/tests/dispatch/test_tickets.py
+++ b/tests/dispatch/test_tickets.py
@@ -10,7 +10,7 @@
 
 def _make_fleet(worker_count: int = 3) -> ModelFleet:
     fleet = ModelFleet(worker_count)
-    advice = Advice(decide_ms=100, each_ms=10, valid_ms=_VALID_MS)
+    advice = Advice(decide_ms=100, per_worker_ms=10, valid_ms=_VALID_MS)
     fleet.commit(PutCatalog(make_catalog(2, advice=advice), b'{}'))
     fleet.run(1)
     return fleet
@@ -101,7 +101,7 @@
     fleet.policy.allowed = {'w-0'}
     fleet.submit('busy', make_step(4))
     fleet.run(1)
-    fleet.submit('job', make_step(2, is_filler=True))
+    fleet.submit('job', make_step(2, is_best_effort=True))
     fleet.run(1)
     assert fleet.get_runs(TASK) == ['w-0']
 
--- a/tests/dispatch/test_upkeep.py
+++ b/tests/dispatch/test_upkeep.py
@@ -1,7 +1,7 @@
 """Waves of maintenance, and what lasting tasks may miss."""
 
 from builders.workers import UPKEEP_S, ModelFleet, make_step, make_worker
-from sardinemast.jobs import TaskKey, UpkeepStatus, WaveItem
+from sardinemast.jobs import MaintenanceStatus, TaskKey, WaveItem
 from sardinemast.jobs.commands import (
     CancelJob,
     DeclareWave,
@@ -14,14 +14,16 @@
 _INSTANCES = tuple(f'm-{number}' for number in range(_WORKERS))
 
 
-def _start_lasting(fleet: ModelFleet, task_count: int, may_miss: int) -> None:
+def _start_lasting(
+    fleet: ModelFleet, task_count: int, max_unavailable: int
+) -> None:
     fleet.run(4)
     # One a worker, so that each can be emptied or lost alone.
     step = make_step(
         task_count,
-        is_lasting=True,
-        may_miss=may_miss,
-        worker_max=1,
+        is_long_running=True,
+        max_unavailable=max_unavailable,
+        max_per_worker=1,
     )
     fleet.submit('watch', step)
     fleet.run(2)
@@ -124,7 +126,7 @@
         f'm-{one}' for one in range(_WORKERS)
     }
     items = fleet.state.waves[1].items
-    assert all(item.status is UpkeepStatus.done for item in items)
+    assert all(item.status is MaintenanceStatus.done for item in items)
 
 
 def test_wave_waits_for_an_instance_that_is_down_for_a_while() -> None:
@@ -188,7 +190,7 @@
     instance = worker.worker.instance
     fleet.instances.refused.add(instance)
     _declare(fleet, names=(instance,))
-    ordered = NoteUpkeep(1, instance, UpkeepStatus.ordered, 1)
+    ordered = NoteUpkeep(1, instance, MaintenanceStatus.ordered, 1)
     fleet.commit(ordered)
     fleet.elect()
     for _ in range(400):
@@ -279,4 +281,4 @@
 
 def _list_left(fleet: ModelFleet) -> list[WaveItem]:
     items = fleet.state.waves[1].items
-    return [one for one in items if one.status is not UpkeepStatus.done]
+    return [one for one in items if one.status is not MaintenanceStatus.done]
--- a/tests/fleet/test_key_holders.py
+++ b/tests/fleet/test_idempotency_entries.py
@@ -21,7 +21,7 @@
     state = FleetState()
     for index, name in enumerate(('entry-1', 'entry-2', 'entry-3'), start=1):
         apply_command(state, RegisterEntry(name, 7, '10.0.0.1', 9), index)
-    before = dict(state.key_holders)
+    before = dict(state.idempotency_entries)
     apply_command(state, RetireEntry('entry-2', 7), 4)
     assert state.entries.keys() == {'entry-1', 'entry-3'}
-    assert load_state(dump_state(state)).key_holders == before
+    assert load_state(dump_state(state)).idempotency_entries == before
--- a/tests/fleet/test_operator_commands.py
+++ b/tests/fleet/test_operator_commands.py
@@ -3,7 +3,7 @@
 from builders import make_document, make_fleet
 from builders.fleets import KEY_DIGEST
 from sardinemast.fleet import (
-    REMEMBERED_DAYS,
+    COMMAND_RETENTION_DAYS,
     AdvanceTime,
     ApplyDocument,
     FleetDocument,
@@ -58,10 +58,10 @@
     state = FleetState()
     apply_command(state, AdvanceTime(_DAY_S), 1)
     apply_command(state, WithdrawKey('w', 'k1'), 2)
-    apply_command(state, AdvanceTime((1 + REMEMBERED_DAYS) * _DAY_S), 3)
-    assert 'w' in state.remembered
-    apply_command(state, AdvanceTime((2 + REMEMBERED_DAYS) * _DAY_S), 4)
-    assert 'w' not in state.remembered
+    apply_command(state, AdvanceTime((1 + COMMAND_RETENTION_DAYS) * _DAY_S), 3)
+    assert 'w' in state.recent_commands
+    apply_command(state, AdvanceTime((2 + COMMAND_RETENTION_DAYS) * _DAY_S), 4)
+    assert 'w' not in state.recent_commands
 
 
 def test_time_of_the_log_never_goes_back() -> None:
--- a/tests/fleet/test_plan_commands.py
+++ b/tests/fleet/test_subsystem_commands.py
@@ -14,7 +14,7 @@
     dump_state,
     load_state,
 )
-from sardinemast.fleet._streams import dump_for_entry, make_entry_command
+from sardinemast.fleet._entry_updates import dump_for_entry, make_entry_update
 from sardinemast.routing._picker import UpstreamPicker, Wish
 
 _BUDGETS = maintenance.Budgets(
@@ -46,14 +46,14 @@
             'enrol-1', 'brittany', 'rennes', 'rack-1', 'enrolment', 1.0
         ),
     )
-    enrolled = state.plans.maintenance.instances['enrol-1']
+    enrolled = state.subsystems.maintenance.instances['enrol-1']
     proved = maintenance.commands.ConditionChange(
         'enrol-1',
         enrolled.changed_index,
         maintenance.Condition.serving,
     )
     _apply(state, maintenance.commands.ChangeConditions((proved,), 2.0))
-    serving = state.plans.maintenance.instances['enrol-1']
+    serving = state.subsystems.maintenance.instances['enrol-1']
     start = maintenance.commands.StepStart(
         'enrol-1',
         serving.changed_index,
@@ -81,11 +81,11 @@
 def test_move_changes_the_pool_that_entries_route_by() -> None:
     """Leave an instance in one pool at each log index."""
     state = _make_moving()
-    moving = state.plans.maintenance.instances['enrol-1']
+    moving = state.subsystems.maintenance.instances['enrol-1']
     join = maintenance.commands.JoinPool('enrol-1', moving.changed_index)
     _apply(state, join)
     assert state.instances['enrol-1'].pool == 'spare'
-    assert state.plans.maintenance.instances['enrol-1'].pool == 'spare'
+    assert state.subsystems.maintenance.instances['enrol-1'].pool == 'spare'
 
 
 def test_operator_who_assigns_ends_the_step() -> None:
@@ -95,7 +95,7 @@
     the move went on, the instance would end in the pool of the older plan.
     """
     state = _make_moving()
-    moving = state.plans.maintenance.instances['enrol-1']
+    moving = state.subsystems.maintenance.instances['enrol-1']
     state.document = state.document._replace(
         pools={
             **state.document.pools,
@@ -107,7 +107,7 @@
         AssignInstance('a', 'enrol-1', 'other'),
         maintenance.commands.JoinPool('enrol-1', moving.changed_index),
     )
-    found = state.plans.maintenance.instances['enrol-1']
+    found = state.subsystems.maintenance.instances['enrol-1']
     assert (found.pool, found.condition) == ('other', 'proving')
     assert state.instances['enrol-1'].pool == 'other'
 
@@ -118,12 +118,12 @@
     image = dump_for_entry(state, 'entry-1', 7)
     assert image.maintenance == dump_state(state).maintenance
     drain = placement.commands.DrainWorker('d', 'w')
-    assert not make_entry_command(state, drain, 99).payload
+    assert not make_entry_update(state, drain, 99).payload
 
 
 def test_registered_entry_is_asked_before_a_reboot() -> None:
     """Know each run of an entry from its registration on."""
-    runs = _make_moving().plans.maintenance.entry_runs
+    runs = _make_moving().subsystems.maintenance.entry_runs
     assert set(runs) == {maintenance.EntryRun('entry-1', 7)}
 
 
--- a/tests/jobs/test_kept_room_fuzz.py
+++ b/tests/jobs/test_free_capacity_fuzz.py
@@ -20,7 +20,7 @@
     make_worker,
 )
 from sardinemast.jobs import (
-    NO_SIZE,
+    ZERO_SIZE,
     JobRequest,
     JobsState,
     RunEnd,
@@ -33,11 +33,11 @@
 from sardinemast.jobs.commands import (
     CancelJob,
     Command,
+    FinishedRun,
     ForgetWorker,
     PutCatalog,
     RecordRuns,
     RegisterWorker,
-    RunOver,
     RunStart,
     SubmitJob,
 )
@@ -55,7 +55,7 @@
         instance=f'm-{choose(_NUMBERS)}',
         address=f'10.0.0.{choose(_NUMBERS)}:80',
         pool=(POOL, STANDBY)[choose(st.integers(0, 1))],
-        room=Size(choose(_NUMBERS) * 2000, 1 << 30),
+        capacity=Size(choose(_NUMBERS) * 2000, 1 << 30),
     )
 
 
@@ -78,7 +78,7 @@
         return RecordRuns((), ())
     task, number = running[choose(st.integers(0, len(running) - 1))]
     end = tuple(RunEnd)[choose(st.integers(0, 2))]
-    return RecordRuns((RunOver(task, number, end),), ())
+    return RecordRuns((FinishedRun(task, number, end),), ())
 
 
 def _draw(kind: str, state: JobsState, choose: _Choose) -> Command:
@@ -87,7 +87,9 @@
     if kind == 'forget':
         return ForgetWorker(f'w-{choose(_NUMBERS)}', choose(_BOOTS))
     if kind == 'submit':
-        request = JobRequest('', (make_step(2), make_step(1, is_filler=True)))
+        request = JobRequest(
+            '', (make_step(2), make_step(1, is_best_effort=True))
+        )
         return SubmitJob(f'job-{choose(_NUMBERS)}', QUEUE, '', request, 1)
     if kind == 'cancel':
         return CancelJob(f'job-{choose(_NUMBERS)}')
@@ -98,7 +100,9 @@
 
 def _check(state: JobsState) -> None:
     free = {
-        name: worker.room.plus(state.usage.by_worker.get(name, NO_SIZE), -1)
+        name: worker.capacity.plus(
+            state.usage.by_worker.get(name, ZERO_SIZE), -1
+        )
         for name, worker in state.workers.items()
     }
     for name in free:
@@ -117,7 +121,7 @@
     for number in range(4):
         found = {
             worker.name
-            for worker in state.places.list_on_instance(f'm-{number}')
+            for worker in state.worker_index.list_on_instance(f'm-{number}')
         }
         assert found == {
             name
--- a/tests/jobs/test_jobs_state.py
+++ b/tests/jobs/test_jobs_state.py
@@ -22,11 +22,11 @@
 from sardinemast.jobs.commands import (
     CancelJob,
     Command,
+    FinishedRun,
     ForgetWorker,
     PutCatalog,
     RecordRuns,
     RegisterWorker,
-    RunOver,
     RunStart,
     SubmitJob,
 )
@@ -62,7 +62,7 @@
 
     def end(self, task: TaskKey, end: RunEnd, number: int = 1) -> None:
         """Record an end."""
-        self.add(RecordRuns((RunOver(task, number, end),), ()))
+        self.add(RecordRuns((FinishedRun(task, number, end),), ()))
 
     def get_status(self) -> JobStatus:
         """Give the job's status."""
@@ -116,7 +116,7 @@
 def test_lasting_task_starts_again_however_it_ends() -> None:
     """A watch on a balloon goes on until it is cancelled."""
     log = _Log()
-    log.submit(make_step(is_lasting=True))
+    log.submit(make_step(is_long_running=True))
     for number, end in enumerate((RunEnd.failed, RunEnd.done, RunEnd.failed)):
         log.start(_TASK, number + 1)
         log.end(_TASK, end, number + 1)
@@ -134,7 +134,7 @@
     members = [_TASK._replace(position=position) for position in range(3)]
     starts = tuple(RunStart(member, 1, 'w-1') for member in members)
     log.add(RecordRuns((), starts))
-    overs = tuple(RunOver(member, 1, RunEnd.failed) for member in members)
+    overs = tuple(FinishedRun(member, 1, RunEnd.failed) for member in members)
     log.add(RecordRuns(overs, ()))
     assert log.get_status() is JobStatus.running
     again = tuple(RunStart(member, 2, 'w-2') for member in members)
--- a/tests/platform/test_translate.py
+++ b/tests/platform/test_translate.py
@@ -54,12 +54,12 @@
     assert first.size == (500, 2 * _MIB, 0)
     assert second.depends_on == (0,)
     assert second.data_rack == 'r1'
-    assert second.worker_max == 2
-    assert second.is_lasting
-    assert second.is_filler
+    assert second.max_per_worker == 2
+    assert second.is_long_running
+    assert second.is_best_effort
     assert second.is_gang
-    assert second.may_miss == 1
-    assert second.tail_limit_ms == 80
+    assert second.max_unavailable == 1
+    assert second.tail_latency_limit_ms == 80
 
 
 @pytest.mark.parametrize(
@@ -124,7 +124,7 @@
     assert worker.boot_ms == 17
     assert worker.rack == 'r1-3'
     assert worker.instance == 'm-1'
-    assert worker.room == (16000, _MIB, 0)
+    assert worker.capacity == (16000, _MIB, 0)
     assert worker.is_draining
 
 
