--- a/bench/policies.py
+++ b/bench/policies.py
@@ -15,8 +15,8 @@
 from unittest.mock import patch
 
 from sardinemast.dispatch import DispatchSettings, PoolPolicy
-from sardinemast.dispatch._peaks import PeakBook
-from sardinemast.dispatch._stragglers import Stragglers
+from sardinemast.dispatch._peaks import PeakTracker
+from sardinemast.dispatch._stragglers import StragglerDetector
 from sardinemast.model import (
     REGISTRY_DAY,
     DayFigures,
@@ -83,13 +83,13 @@
     _size('idle for 3 s before a move', PoolPolicy(idle_s=3)),
     Variant(
         'neither opening share nor forecast',
-        owner=PeakBook,
+        owner=PeakTracker,
         function='get_next_start_s',
         stand_in=_never,
     ),
     Variant(
         'no stragglers found',
-        owner=Stragglers,
+        owner=StragglerDetector,
         function='judge',
         stand_in=_ignore,
     ),
--- a/bench/starts.py
+++ b/bench/starts.py
@@ -15,15 +15,15 @@
     DispatchEvent,
     DispatchOutput,
     DispatchSettings,
-    ListedEnd,
-    ListedRun,
-    LookAnswer,
-    LookAtWorker,
     OrderOutcome,
+    PollWorker,
     Propose,
-    RunAnswered,
+    ReportedEnd,
+    ReportedRun,
+    StartAnswered,
     StartRun,
-    WorkerLooked,
+    WorkerPolled,
+    WorkerReport,
 )
 from sardinemast.fleet import COMMANDS
 from sardinemast.jobs import (
@@ -107,9 +107,9 @@
         self._dispatcher = Dispatcher(DispatchSettings())
         self._outputs: deque[DispatchOutput] = deque()
         self._running: deque[_Ending] = deque()
-        self._waiting: dict[str, LookAtWorker] = {}
+        self._waiting: dict[str, PollWorker] = {}
         self._listed: dict[str, dict[TaskKey, _Running]] = {}
-        self._ended: dict[str, list[ListedEnd]] = {}
+        self._ended: dict[str, list[ReportedEnd]] = {}
         self._positions: dict[str, int] = {}
         names = [f'pool-{number}' for number in range(_POOLS)]
         queues = tuple(
@@ -162,7 +162,7 @@
         if self._now_s >= self._announced_s + _ANNOUNCE_EVERY_S:
             self._announced_s = self._now_s
             for name in self.state.workers:
-                self._dispatcher.note_announced(name, self._now_s)
+                self._dispatcher.record_announcement(name, self._now_s)
 
     def _commit(self, command: Command) -> list[DispatchOutput]:
         payload = COMMANDS.encode(command)
@@ -173,7 +173,7 @@
         self._log_index += 1
         apply_command(decoded, self.state, self._log_index)
         now_ms = int(self._now_s * _MS)
-        return self._dispatcher.note_applied(decoded, self._now_s, now_ms)
+        return self._dispatcher.handle_applied(decoded, self._now_s, now_ms)
 
     def _take(self, outputs: list[DispatchOutput]) -> None:
         queue = deque(outputs)
@@ -183,7 +183,7 @@
                 queue.extend(self._commit(output.command))
             elif isinstance(output, StartRun):
                 queue.extend(self._start(output))
-            elif isinstance(output, LookAtWorker):
+            elif isinstance(output, PollWorker):
                 self._look(output, queue)
 
     def _start(self, order: StartRun) -> list[DispatchOutput]:
@@ -193,7 +193,7 @@
         self._running.append(_Ending(name, order.task, order.number, due_s))
         running = _Running(order.number, self._now_s)
         self._listed.setdefault(name, {})[order.task] = running
-        answered = RunAnswered(
+        answered = StartAnswered(
             name,
             order.task,
             order.number,
@@ -205,7 +205,7 @@
 
     def _look(
         self,
-        order: LookAtWorker,
+        order: PollWorker,
         queue: deque[DispatchOutput],
     ) -> None:
         # A look that waits is answered when something has ended, at the
@@ -215,18 +215,18 @@
         else:
             queue.extend(self._answer_look(order))
 
-    def _answer_look(self, order: LookAtWorker) -> list[DispatchOutput]:
+    def _answer_look(self, order: PollWorker) -> list[DispatchOutput]:
         name = order.worker.name
         ended = self._ended.get(name, [])
-        kept = [one for one in ended if one.position > order.seen]
+        kept = [one for one in ended if one.position > order.acked_position]
         self._ended[name] = kept
         running = tuple(
-            ListedRun(task, one.number, '', self._get_percent(one))
+            ReportedRun(task, one.number, '', self._get_percent(one))
             for task, one in self._listed.get(name, {}).items()
         )
-        answer = LookAnswer(1, self._get_clock_ms(), running, tuple(kept))
+        answer = WorkerReport(1, self._get_clock_ms(), running, tuple(kept))
         return self._step(
-            WorkerLooked(
+            WorkerPolled(
                 name,
                 order.fence,
                 order.sent_s,
@@ -241,7 +241,7 @@
         self._positions[name] = position
         self._listed[name].pop(ending.task)
         self._ended.setdefault(name, []).append(
-            ListedEnd(position, ending.task, ending.number, 'done'),
+            ReportedEnd(position, ending.task, ending.number, 'done'),
         )
         look = self._waiting.pop(name, None)
         if look is not None:
--- a/src/sardinemast/control/_call_desk.py
+++ b/src/sardinemast/control/_call_desk.py
@@ -49,12 +49,12 @@
     def __init__(
         self,
         context: ControlContext,
-        note_announced: Callable[[str, float], None],
-        note_leaving: Callable[[str, float], None],
+        record_announcement: Callable[[str, float], None],
+        record_leaving: Callable[[str, float], None],
     ) -> None:
         self._context = context
-        self._note_announced = note_announced
-        self._note_leaving = note_leaving
+        self._note_announced = record_announcement
+        self._note_leaving = record_leaving
         self._waiting: dict[Any, list[Caller]] = defaultdict(list)
         self._sequences: dict[tuple[str, int], int] = {}
         # Each look-up of a dispatching method makes a new function.
--- a/src/sardinemast/control/_events.py
+++ b/src/sardinemast/control/_events.py
@@ -173,9 +173,9 @@
     | CallReceived
     | CallerDisconnected
     | ProposalsDue
-    | dispatch.WorkerLooked
-    | dispatch.RunAnswered
-    | dispatch.UpkeepAnswered
+    | dispatch.WorkerPolled
+    | dispatch.StartAnswered
+    | dispatch.MaintenanceAnswered
     | dispatch.MoveAnswered
     | dispatch.InstancesListed
     | dispatch.AdviceAnswered
--- a/src/sardinemast/control/_job_desk.py
+++ b/src/sardinemast/control/_job_desk.py
@@ -25,22 +25,22 @@
 from sardinemast.control._wall_clock import WallClock
 from sardinemast.dispatch import (
     AdviceAnswered,
-    AskAdvice,
     Dispatcher,
     DispatchEvent,
     DispatchOutput,
     DispatchSettings,
     LogDecision,
-    LookAtWorker,
+    MaintenanceAnswered,
     MoveAnswered,
+    OrderMaintenance,
     OrderMove,
     OrderOutcome,
-    OrderUpkeep,
+    PollWorker,
     Propose,
-    RunAnswered,
+    RequestAdvice,
+    StartAnswered,
     StartRun,
-    UpkeepAnswered,
-    WorkerLooked,
+    WorkerPolled,
 )
 from sardinemast.fleet import COMMANDS, Command
 from sardinemast.jobs import Command as JobCommand
@@ -73,8 +73,8 @@
         self._dispatcher = Dispatcher(settings)
         self._calls = CallDesk(
             self._context,
-            self._dispatcher.note_announced,
-            self._dispatcher.note_leaving,
+            self._dispatcher.record_announcement,
+            self._dispatcher.record_leaving,
         )
         self._streams: dict[int, None] = {}
         self._gathered: list[CommandProposed] = []
@@ -122,18 +122,18 @@
 
     def note_restored(self, now_s: float) -> None:
         """Note that the state came as a whole, from a snapshot."""
-        self._dispatcher.note_gap(now_s)
+        self._dispatcher.reset_order_times(now_s)
 
     def note_applied(self, command: Command, now_s: float) -> None:
         """Go on after a command was applied, where this process leads."""
         if not isinstance(command, JobCommand):
             return
-        self._dispatcher.note_logged(command, now_s)
+        self._dispatcher.record_order_time(command, now_s)
         if not self._is_leading:
             return
         self._calls.note_applied(command)
         now_ms = self._clock.get_ms(now_s)
-        outputs = self._dispatcher.note_applied(command, now_s, now_ms)
+        outputs = self._dispatcher.handle_applied(command, now_s, now_ms)
         self._emit(outputs, now_s)
 
     @singledispatchmethod
@@ -226,28 +226,28 @@
 
 def make_unsent(order: DispatchOutput) -> DispatchEvent | None:
     """Give the event that an order was not sent, where one is awaited."""
-    if isinstance(order, LookAtWorker):
-        return WorkerLooked(
+    if isinstance(order, PollWorker):
+        return WorkerPolled(
             order.worker.name,
             order.fence,
             order.sent_s,
             OrderOutcome.not_sent,
         )
     if isinstance(order, StartRun):
-        return RunAnswered(
+        return StartAnswered(
             order.worker.name,
             order.task,
             order.number,
             OrderOutcome.not_sent,
         )
-    if isinstance(order, OrderUpkeep):
-        return UpkeepAnswered(
+    if isinstance(order, OrderMaintenance):
+        return MaintenanceAnswered(
             order.instance,
             order.wave,
             order.boot_ms,
             OrderOutcome.not_sent,
         )
-    if isinstance(order, AskAdvice):
+    if isinstance(order, RequestAdvice):
         return AdviceAnswered(order.step, is_answered=False)
     if isinstance(order, OrderMove):
         return MoveAnswered(
--- a/src/sardinemast/dispatch/_core.py
+++ b/src/sardinemast/dispatch/_core.py
@@ -4,23 +4,26 @@
     AdviceAnswered,
     DispatchEvent,
     DispatchOutput,
-    RunAnswered,
-    WorkerLooked,
+    StartAnswered,
+    WorkerPolled,
 )
 from sardinemast.dispatch._instance_events import (
     InstancesListed,
+    MaintenanceAnswered,
     MoveAnswered,
-    UpkeepAnswered,
 )
-from sardinemast.dispatch._looks import Looks
-from sardinemast.dispatch._measure import MEASURE_EVERY_S, measure_pools
-from sardinemast.dispatch._moves import Moves
+from sardinemast.dispatch._load_measurement import (
+    MEASURE_EVERY_S,
+    measure_pools,
+)
+from sardinemast.dispatch._maintenance import Upkeep
+from sardinemast.dispatch._polling import Looks
+from sardinemast.dispatch._pool_balancer import Moves
+from sardinemast.dispatch._run_recorder import Starts
 from sardinemast.dispatch._settings import DispatchSettings
-from sardinemast.dispatch._starts import Starts
 from sardinemast.dispatch._state import DispatchState
-from sardinemast.dispatch._stragglers import Stragglers
+from sardinemast.dispatch._stragglers import StragglerDetector
 from sardinemast.dispatch._tickets import Tickets
-from sardinemast.dispatch._upkeep import Upkeep
 from sardinemast.jobs import Command, JobsState
 from sardinemast.jobs.commands import (
     CancelJob,
@@ -46,7 +49,7 @@
         self._looks = Looks(self._state)
         self._tickets = Tickets(self._state)
         self._starts = Starts(self._state, self._tickets)
-        self._stragglers = Stragglers(self._state)
+        self._stragglers = StragglerDetector(self._state)
         self._upkeep = Upkeep(self._state)
         self._moves = Moves(self._state)
         self._measured_s: float = 0
@@ -65,14 +68,14 @@
         self._opening.clear()
         self._passed_s = float('-inf')
 
-    def note_logged(self, command: Command, now_s: float) -> None:
+    def record_order_time(self, command: Command, now_s: float) -> None:
         """Follow a command that was applied, also where another leads."""
         if isinstance(command, NoteMove | NoteUpkeep):
             self._state.order_times.note(command.instance, now_s)
 
-    def note_gap(self, now_s: float) -> None:
+    def reset_order_times(self, now_s: float) -> None:
         """Note that commands up to now were not followed one by one."""
-        self._state.order_times.note_gap(now_s)
+        self._state.order_times.reset_order_times(now_s)
 
     def tick(self, now_s: float, now_ms: int) -> list[DispatchOutput]:
         """Do what time has made due."""
@@ -99,7 +102,7 @@
         """Take an answer of a worker, or of who runs the instances."""
         self._state.outputs = []
         self._state.now_ms = now_ms
-        if isinstance(event, UpkeepAnswered):
+        if isinstance(event, MaintenanceAnswered):
             self._upkeep.take_answer(event, now_s)
         elif isinstance(event, MoveAnswered):
             self._moves.take_answer(event, now_s)
@@ -114,7 +117,7 @@
         self._record(now_s, now_ms)
         return self._state.outputs
 
-    def note_applied(
+    def handle_applied(
         self,
         command: Command,
         now_s: float,
@@ -142,14 +145,14 @@
         self._record(now_s, now_ms)
         return self._state.outputs
 
-    def note_announced(self, worker: str, now_s: float) -> None:
+    def record_announcement(self, worker: str, now_s: float) -> None:
         """Note that a worker has announced itself."""
         contact = self._state.contacts.get(worker)
         if contact is not None:
             contact.announced_s = now_s
             contact.is_leaving = False
 
-    def note_leaving(self, worker: str, now_s: float) -> None:
+    def record_leaving(self, worker: str, now_s: float) -> None:
         """Note that a worker has said that it ends now.
 
         It may say so a little before it does. What it runs counts until its
@@ -168,13 +171,13 @@
 
     def _take_worker_answer(
         self,
-        event: WorkerLooked | RunAnswered,
+        event: WorkerPolled | StartAnswered,
         now_s: float,
     ) -> None:
         contact = self._state.contacts.get(event.worker)
         if contact is None:
             return
-        if isinstance(event, WorkerLooked):
+        if isinstance(event, WorkerPolled):
             ends = self._looks.take(contact, event, now_s)
             self._starts.note_ends(contact, ends, now_s)
             self._stragglers.note_ends(contact, ends, now_s)
--- a/src/sardinemast/dispatch/_events.py
+++ b/src/sardinemast/dispatch/_events.py
@@ -6,10 +6,10 @@
 from sardinemast.dispatch._instance_events import (
     InstancesListed,
     ListInstances,
+    MaintenanceAnswered,
     MoveAnswered,
+    OrderMaintenance,
     OrderMove,
-    OrderUpkeep,
-    UpkeepAnswered,
 )
 from sardinemast.dispatch._outcomes import OrderOutcome
 from sardinemast.jobs import Command, StepKey, TaskKey, Worker
@@ -18,7 +18,7 @@
 TICKET_REASON = 'ticket'
 
 
-class ListedRun(NamedTuple):
+class ReportedRun(NamedTuple):
     """Hold what a worker says of a run.
 
     ``gauge`` is the tail of a serving task's response times in milliseconds,
@@ -32,7 +32,7 @@
     gauge: int = 0
 
 
-class ListedEnd(NamedTuple):
+class ReportedEnd(NamedTuple):
     """Hold an end that a worker lists; ``position`` grows by one each."""
 
     position: int
@@ -42,16 +42,16 @@
     checkpoint: str = ''
 
 
-class LookAnswer(NamedTuple):
+class WorkerReport(NamedTuple):
     """Hold what a worker says of itself: its clock, its runs, their ends."""
 
     boot_ms: int
     clock_ms: int
-    running: tuple[ListedRun, ...]
-    ended: tuple[ListedEnd, ...]
+    running: tuple[ReportedRun, ...]
+    ended: tuple[ReportedEnd, ...]
 
 
-class LookAtWorker(NamedTuple):
+class PollWorker(NamedTuple):
     """Ask a worker for its runs and ends, and prolong its lease.
 
     Without ``expires_ms`` the lease stays as it is. Ends up to ``seen`` are
@@ -60,21 +60,21 @@
 
     worker: Worker
     fence: int
-    seen: int
+    acked_position: int
     expires_ms: int | None
     wait_ms: int
     timeout_s: float
     sent_s: float
 
 
-class WorkerLooked(NamedTuple):
+class WorkerPolled(NamedTuple):
     """Hand over the answer to a look, or that there is none."""
 
     worker: str
     fence: int
     sent_s: float
     outcome: OrderOutcome
-    answer: LookAnswer | None = None
+    answer: WorkerReport | None = None
 
 
 class StartRun(NamedTuple):
@@ -91,7 +91,7 @@
     ticket: str = ''
 
 
-class RunAnswered(NamedTuple):
+class StartAnswered(NamedTuple):
     """Hand over the answer to a start."""
 
     worker: str
@@ -112,7 +112,7 @@
     timeout_s: float
 
 
-class PaceRun(NamedTuple):
+class ThrottleRun(NamedTuple):
     """Tell a worker to let a run work at a share of its speed."""
 
     worker: Worker
@@ -123,7 +123,7 @@
     timeout_s: float
 
 
-class AskAdvice(NamedTuple):
+class RequestAdvice(NamedTuple):
     """Ask the outside policy which of some workers may run a step.
 
     A ticket counts for ``valid_s``.
@@ -165,22 +165,22 @@
 
 
 DispatchEvent = (
-    WorkerLooked
-    | RunAnswered
-    | UpkeepAnswered
+    WorkerPolled
+    | StartAnswered
+    | MaintenanceAnswered
     | MoveAnswered
     | InstancesListed
     | AdviceAnswered
 )
 DispatchOutput = (
-    LookAtWorker
+    PollWorker
     | StartRun
     | StopRun
-    | PaceRun
-    | OrderUpkeep
+    | ThrottleRun
+    | OrderMaintenance
     | OrderMove
     | ListInstances
-    | AskAdvice
+    | RequestAdvice
     | LogDecision
     | Propose
 )
--- a/src/sardinemast/dispatch/_instance_events.py
+++ b/src/sardinemast/dispatch/_instance_events.py
@@ -5,7 +5,7 @@
 from sardinemast.dispatch._outcomes import OrderOutcome
 
 
-class OrderUpkeep(NamedTuple):
+class OrderMaintenance(NamedTuple):
     """Have an instance maintained; all that runs on it ends at once.
 
     ``token`` fences the order, and ``boot_ms`` is the boot of the worker that
@@ -19,7 +19,7 @@
     timeout_s: float
 
 
-class UpkeepAnswered(NamedTuple):
+class MaintenanceAnswered(NamedTuple):
     """Hand over what became of an order for an instance."""
 
     instance: str
--- a/src/sardinemast/dispatch/_measure.py
+++ b/src/sardinemast/dispatch/_load_measurement.py
@@ -2,9 +2,9 @@
 
 from collections import defaultdict
 
-from sardinemast.dispatch._contact import Contact
-from sardinemast.dispatch._loads import PoolLoad
+from sardinemast.dispatch._pool_load import PoolLoad
 from sardinemast.dispatch._state import DispatchState
+from sardinemast.dispatch._worker_session import Contact
 from sardinemast.jobs import StepState, Worker
 
 # Short against the second or two that a move takes, long against the time
--- a/src/sardinemast/dispatch/_upkeep.py
+++ b/src/sardinemast/dispatch/_maintenance.py
@@ -3,17 +3,17 @@
 from collections import Counter
 from collections.abc import Callable, Iterator
 
-from sardinemast.dispatch._contact import Contact
+from sardinemast.dispatch._disruptions import may_stop
 from sardinemast.dispatch._instance_events import (
     InstancesListed,
     ListInstances,
-    OrderUpkeep,
-    UpkeepAnswered,
+    MaintenanceAnswered,
+    OrderMaintenance,
 )
-from sardinemast.dispatch._ledger import may_stop
-from sardinemast.dispatch._loads import NO_LOAD
 from sardinemast.dispatch._outcomes import OrderOutcome
+from sardinemast.dispatch._pool_load import NO_LOAD
 from sardinemast.dispatch._state import DispatchState
+from sardinemast.dispatch._worker_session import Contact
 from sardinemast.jobs import MaintenanceStatus, Wave, WaveItem, Worker
 from sardinemast.jobs.commands import NoteUpkeep
 
@@ -69,7 +69,7 @@
             if contact.is_resting or contact.worker.is_draining:
                 self._empty(contact, now_s)
 
-    def take_answer(self, answered: UpkeepAnswered, now_s: float) -> None:
+    def take_answer(self, answered: MaintenanceAnswered, now_s: float) -> None:
         """Take the answer to an order."""
         wave = self._state.jobs.waves.get(answered.wave)
         if wave is None:
@@ -117,7 +117,7 @@
                 else:
                     self._down_since_s.setdefault(item.instance, now_s)
 
-    def _is_given_up(self, answered: UpkeepAnswered, now_s: float) -> bool:
+    def _is_given_up(self, answered: MaintenanceAnswered, now_s: float) -> bool:
         """Tell whether an instance is lost, so that the wave ends without it.
 
         It refuses for ever, and the wave would never be done. One that only
@@ -218,7 +218,7 @@
         worker: Worker | None,
     ) -> None:
         self._state.outputs.append(
-            OrderUpkeep(
+            OrderMaintenance(
                 item.instance,
                 wave.number,
                 self._state.term,
--- a/src/sardinemast/dispatch/_order_times.py
+++ b/src/sardinemast/dispatch/_order_times.py
@@ -23,7 +23,7 @@
         """Note that an order for an instance stands in the log."""
         self._named_s[instance] = now_s
 
-    def note_gap(self, now_s: float) -> None:
+    def reset_order_times(self, now_s: float) -> None:
         """Note that entries up to now were not seen one by one.
 
         They came as a snapshot, and any instance may have been named there.
--- a/src/sardinemast/dispatch/_peak_history.py
+++ b/src/sardinemast/dispatch/_peak_history.py
@@ -8,7 +8,7 @@
 from collections import defaultdict
 from collections.abc import Mapping
 
-from sardinemast.dispatch._peaks import PeakBook
+from sardinemast.dispatch._peaks import PeakTracker
 from sardinemast.jobs import JobsState, JobState
 
 # As often as loads are measured, or a little less; a peak lasts seconds.
@@ -25,7 +25,7 @@
     rooms: Mapping[str, int],
     now_s: float,
     now_ms: int,
-) -> PeakBook:
+) -> PeakTracker:
     """Give the peaks that the jobs of the last minutes must have caused.
 
     ``rooms`` holds the usual millicores of each pool. A job is taken to ask
@@ -36,7 +36,7 @@
     for job in state.jobs.values():
         if since_ms <= job.submitted_ms <= now_ms:
             _add_job(by_pool[job.queue.pool], job)
-    book = PeakBook()
+    book = PeakTracker()
     for pool, demand in by_pool.items():
         room = rooms.get(pool, 0)
         if room:
@@ -58,7 +58,7 @@
 
 
 def _note_slices(
-    book: PeakBook,
+    book: PeakTracker,
     pool: str,
     room: int,
     demand: _Demand,
--- a/src/sardinemast/dispatch/_peaks.py
+++ b/src/sardinemast/dispatch/_peaks.py
@@ -41,7 +41,7 @@
         self.asked_share: float | None = None
 
 
-class PeakBook:
+class PeakTracker:
     """Follow pools' demand, and forecast their next peaks."""
 
     def __init__(self) -> None:
--- a/src/sardinemast/dispatch/_looks.py
+++ b/src/sardinemast/dispatch/_polling.py
@@ -1,19 +1,19 @@
 """Looks at workers: leases, lists, and workers that come and go."""
 
-from sardinemast.dispatch._contact import Contact
 from sardinemast.dispatch._events import (
-    LookAtWorker,
-    PaceRun,
-    WorkerLooked,
+    PollWorker,
+    ThrottleRun,
+    WorkerPolled,
 )
 from sardinemast.dispatch._outcomes import OrderOutcome
-from sardinemast.dispatch._pacing import Pacing
 from sardinemast.dispatch._reconcile import (
     collect_ends,
     find_lost,
     find_orphans,
 )
 from sardinemast.dispatch._state import DispatchState
+from sardinemast.dispatch._throttling import Pacing
+from sardinemast.dispatch._worker_session import Contact
 from sardinemast.jobs import RunEnd
 from sardinemast.jobs.commands import FinishedRun, ForgetWorker, RegisterWorker
 
@@ -102,7 +102,7 @@
         wait_ms = self._get_wait_ms(contact) if is_heard else 0
         contact.looks.is_sent = True
         self._state.outputs.append(
-            LookAtWorker(
+            PollWorker(
                 contact.worker,
                 contact.fence,
                 contact.ends.seen,
@@ -116,7 +116,7 @@
     def take(
         self,
         contact: Contact,
-        looked: WorkerLooked,
+        looked: WorkerPolled,
         now_s: float,
     ) -> list[FinishedRun]:
         """Take the answer to a look, and give the ends that it told."""
@@ -198,7 +198,7 @@
     def _take_lists(
         self,
         contact: Contact,
-        looked: WorkerLooked,
+        looked: WorkerPolled,
         now_s: float,
     ) -> list[FinishedRun]:
         answer = looked.answer
@@ -226,7 +226,7 @@
     def _compare(
         self,
         contact: Contact,
-        looked: WorkerLooked,
+        looked: WorkerPolled,
         now_s: float,
     ) -> None:
         state = self._state
@@ -251,7 +251,7 @@
             task, number, percent = paced
             self._pacing.note_sent(name, task, number, percent)
             state.outputs.append(
-                PaceRun(
+                ThrottleRun(
                     contact.worker,
                     task,
                     number,
--- a/src/sardinemast/dispatch/_moves.py
+++ b/src/sardinemast/dispatch/_pool_balancer.py
@@ -17,10 +17,10 @@
     MoveAnswered,
     OrderMove,
 )
-from sardinemast.dispatch._loads import PoolLoad
 from sardinemast.dispatch._outcomes import OrderOutcome
 from sardinemast.dispatch._peak_history import recall_peaks
-from sardinemast.dispatch._peaks import PeakBook
+from sardinemast.dispatch._peaks import PeakTracker
+from sardinemast.dispatch._pool_load import PoolLoad
 from sardinemast.dispatch._pool_sizes import PoolNeed, count_needed
 from sardinemast.dispatch._state import DispatchState
 from sardinemast.jobs import MaintenanceStatus, Worker
@@ -53,7 +53,7 @@
 
     def __init__(self, state: DispatchState) -> None:
         self._state = state
-        self._peaks: PeakBook | None = None
+        self._peaks: PeakTracker | None = None
         self._list_due_s: float = 0
         self._under_way: dict[str, _UnderWay] = {}
         self._chosen: dict[str, str] = {}
@@ -128,7 +128,7 @@
         loads: dict[str, PoolLoad],
         now_s: float,
         now_ms: int,
-    ) -> PeakBook:
+    ) -> PeakTracker:
         rooms = {pool: self._needs[pool].room for pool in loads}
         if self._peaks is None:
             jobs = self._state.jobs
@@ -159,7 +159,7 @@
         self,
         pool: str,
         load: PoolLoad,
-        peaks: PeakBook,
+        peaks: PeakTracker,
         now_s: float,
     ) -> int:
         leaving = map(
--- a/src/sardinemast/dispatch/_pool_sizes.py
+++ b/src/sardinemast/dispatch/_pool_sizes.py
@@ -3,8 +3,8 @@
 from math import ceil
 from typing import NamedTuple
 
-from sardinemast.dispatch._loads import PoolLoad
-from sardinemast.dispatch._peaks import PeakBook
+from sardinemast.dispatch._peaks import PeakTracker
+from sardinemast.dispatch._pool_load import PoolLoad
 from sardinemast.dispatch._settings import PoolPolicy
 
 # A moved instance has a new worker after about two seconds; it has to be
@@ -31,7 +31,7 @@
     pool: str,
     load: PoolLoad,
     need: PoolNeed,
-    peaks: PeakBook,
+    peaks: PeakTracker,
     now_s: float,
     policy: PoolPolicy,
 ) -> int:
@@ -52,7 +52,7 @@
     return max(asked, min(expected, _count_most(load, need, policy)))
 
 
-def _is_expected(pool: str, peaks: PeakBook, now_s: float) -> bool:
+def _is_expected(pool: str, peaks: PeakTracker, now_s: float) -> bool:
     """Tell whether a pool's peak begins about now."""
     if peaks.is_peak(pool):
         return peaks.is_beginning(pool, now_s, _LEAD_S)
@@ -65,7 +65,7 @@
     pool: str,
     load: PoolLoad,
     need: PoolNeed,
-    peaks: PeakBook,
+    peaks: PeakTracker,
     policy: PoolPolicy,
 ) -> int:
     """Give how many workers carry the next peak, by the size of the last."""
@@ -77,7 +77,7 @@
     pool: str,
     load: PoolLoad,
     need: PoolNeed,
-    peaks: PeakBook,
+    peaks: PeakTracker,
     now_s: float,
     policy: PoolPolicy,
 ) -> int:
--- a/src/sardinemast/dispatch/_reconcile.py
+++ b/src/sardinemast/dispatch/_reconcile.py
@@ -3,11 +3,11 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-from sardinemast.dispatch._contact import Contact
 from sardinemast.dispatch._events import (
-    ListedEnd,
-    WorkerLooked,
+    ReportedEnd,
+    WorkerPolled,
 )
+from sardinemast.dispatch._worker_session import Contact
 from sardinemast.jobs import JobsState, RunEnd, TaskKey
 from sardinemast.jobs.commands import FinishedRun
 
@@ -21,7 +21,7 @@
     number: int
 
 
-def collect_ends(contact: Contact, looked: WorkerLooked) -> list[FinishedRun]:
+def collect_ends(contact: Contact, looked: WorkerPolled) -> list[FinishedRun]:
     """Give the ends that were not noted before, and note them."""
     ended = looked.answer.ended if looked.answer else ()
     fresh = [one for one in ended if one.position > contact.ends.noted]
@@ -33,7 +33,7 @@
 def find_lost(
     state: JobsState,
     contact: Contact,
-    looked: WorkerLooked,
+    looked: WorkerPolled,
     ending: set[TaskKey],
 ) -> list[FinishedRun]:
     """Give the runs that the log has here and that surely do not exist.
@@ -61,7 +61,7 @@
     ]
 
 
-def _make_over(ended: ListedEnd) -> FinishedRun:
+def _make_over(ended: ReportedEnd) -> FinishedRun:
     return FinishedRun(
         ended.task,
         ended.number,
@@ -74,7 +74,7 @@
     contact: Contact,
     task: TaskKey,
     number: int,
-    looked: WorkerLooked,
+    looked: WorkerPolled,
 ) -> bool:
     sent = contact.sent.get(task)
     # What this leader has not sent was recorded by an earlier one, whose
--- a/src/sardinemast/dispatch/_starts.py
+++ b/src/sardinemast/dispatch/_run_recorder.py
@@ -2,17 +2,17 @@
 
 from collections import defaultdict
 
-from sardinemast.dispatch._contact import Contact, SentStart
 from sardinemast.dispatch._events import (
     TICKET_REASON,
-    RunAnswered,
+    StartAnswered,
     StartRun,
 )
-from sardinemast.dispatch._order import get_order
 from sardinemast.dispatch._outcomes import OrderOutcome
 from sardinemast.dispatch._planner import Planner
 from sardinemast.dispatch._state import DispatchState
+from sardinemast.dispatch._step_priority import get_order
 from sardinemast.dispatch._tickets import Tickets
+from sardinemast.dispatch._worker_session import Contact, SentStart
 from sardinemast.jobs import RunEnd, StepKey, StepState, TaskKey, Worker
 from sardinemast.jobs.commands import FinishedRun, RecordRuns, RunStart
 
@@ -116,7 +116,7 @@
     def take_answer(
         self,
         contact: Contact,
-        answered: RunAnswered,
+        answered: StartAnswered,
         now_s: float,
     ) -> None:
         """Take a worker's answer to a start."""
--- a/src/sardinemast/dispatch/_state.py
+++ b/src/sardinemast/dispatch/_state.py
@@ -2,16 +2,16 @@
 
 from collections.abc import Iterator
 
-from sardinemast.dispatch._contact import Contact, SentStop
 from sardinemast.dispatch._events import (
     DispatchOutput,
     LogDecision,
     Propose,
     StopRun,
 )
-from sardinemast.dispatch._loads import PoolLoad
 from sardinemast.dispatch._order_times import OrderTimes
+from sardinemast.dispatch._pool_load import PoolLoad
 from sardinemast.dispatch._settings import DispatchSettings
+from sardinemast.dispatch._worker_session import Contact, SentStop
 from sardinemast.jobs import (
     Advice,
     Command,
--- a/src/sardinemast/dispatch/_stragglers.py
+++ b/src/sardinemast/dispatch/_stragglers.py
@@ -7,8 +7,8 @@
 
 from typing import NamedTuple
 
-from sardinemast.dispatch._contact import Contact
 from sardinemast.dispatch._state import DispatchState
+from sardinemast.dispatch._worker_session import Contact
 from sardinemast.jobs import RunEnd, StepState, TaskKey
 from sardinemast.jobs.commands import FinishedRun
 
@@ -52,7 +52,7 @@
 _SeenRuns = dict[TaskKey, _Seen]
 
 
-class Stragglers:
+class StragglerDetector:
     """Follow how far runs are, and stop those that another worker overtakes."""
 
     def __init__(self, state: DispatchState) -> None:
--- a/src/sardinemast/dispatch/_pacing.py
+++ b/src/sardinemast/dispatch/_throttling.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from sardinemast.dispatch._contact import Contact
+from sardinemast.dispatch._worker_session import Contact
 from sardinemast.jobs import JobsState, TaskKey
 
 FULL_PERCENT = 100
--- a/src/sardinemast/dispatch/_tickets.py
+++ b/src/sardinemast/dispatch/_tickets.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from sardinemast.dispatch._events import AdviceAnswered, AskAdvice
-from sardinemast.dispatch._order import get_order
+from sardinemast.dispatch._events import AdviceAnswered, RequestAdvice
 from sardinemast.dispatch._state import DispatchState
+from sardinemast.dispatch._step_priority import get_order
 from sardinemast.jobs import StepKey, StepState, Worker
 
 _MS = 1000
@@ -37,7 +37,7 @@
     def __init__(self, state: DispatchState) -> None:
         self._state = state
         self._known: dict[StepKey, dict[str, _Known]] = {}
-        self._asked: AskAdvice | None = None
+        self._asked: RequestAdvice | None = None
         self._next_s = float('-inf')
 
     def start_term(self) -> None:
@@ -159,7 +159,7 @@
             return
         answer_s = self._state.settings.answer_s
         taken_ms = advice.decide_ms + advice.per_worker_ms * len(workers)
-        self._asked = AskAdvice(
+        self._asked = RequestAdvice(
             step.key,
             workers,
             advice.valid_ms / _MS,
--- a/src/sardinemast/dispatch/_contact.py
+++ b/src/sardinemast/dispatch/_worker_session.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from sardinemast.dispatch._events import ListedRun
+from sardinemast.dispatch._events import ReportedRun
 from sardinemast.dispatch._settings import DispatchSettings
 from sardinemast.jobs import TaskKey, Worker
 
@@ -87,7 +87,7 @@
         self.announced_s = float('-inf')
         self.distrust = Distrust()
         self.sent: dict[TaskKey, SentStart] = {}
-        self.listed: dict[TaskKey, ListedRun] = {}
+        self.listed: dict[TaskKey, ReportedRun] = {}
         self.stopping: dict[TaskKey, SentStop] = {}
         self.over_at_s = over_at_s
         self._settings = settings
--- a/src/sardinemast/model/_fleet.py
+++ b/src/sardinemast/model/_fleet.py
@@ -100,7 +100,7 @@
         self.dispatcher = self._follower
         now_s = self.clock.now_s
         self._follower = Dispatcher(self._settings)
-        self._follower.note_gap(now_s)
+        self._follower.reset_order_times(now_s)
         self.dispatcher.start_term(self.state, self._term, now_s)
         kept = list(self._proposed)
         self._proposed.clear()
@@ -122,7 +122,7 @@
         """Have all control processes start again, with the log alone."""
         self.lose_leader(away_s)
         self._follower = Dispatcher(self._settings)
-        self._follower.note_gap(self.clock.now_s + away_s)
+        self._follower.reset_order_times(self.clock.now_s + away_s)
 
     def declare_wave(
         self,
@@ -136,7 +136,7 @@
         self._propose(wave)
 
     def _begin(self) -> None:
-        self._follower.note_gap(self.clock.now_s)
+        self._follower.reset_order_times(self.clock.now_s)
         self._apply(PutCatalog(make_model_catalog(self.day), b''))
         self.elect()
         self.instances.start_all()
@@ -174,7 +174,7 @@
         for model in self.instances.workers.values():
             if self._is_led and not model.is_dark:
                 name = model.worker.name
-                self.dispatcher.note_announced(name, self.clock.now_s)
+                self.dispatcher.record_announcement(name, self.clock.now_s)
         self.clock.call_later(_ANNOUNCE_EVERY_S, self._announce)
 
     def _measure_lasting(self) -> None:
@@ -205,7 +205,7 @@
         for command in commands:
             self._apply(command)
             self._carry_out(
-                self.dispatcher.note_applied(
+                self.dispatcher.handle_applied(
                     command,
                     self.clock.now_s,
                     self.now_ms,
@@ -218,8 +218,8 @@
     def _apply(self, command: Command) -> None:
         self._log_index += 1
         apply_command(command, self.state, self._log_index)
-        self.dispatcher.note_logged(command, self.clock.now_s)
-        self._follower.note_logged(command, self.clock.now_s)
+        self.dispatcher.record_order_time(command, self.clock.now_s)
+        self._follower.record_order_time(command, self.clock.now_s)
 
     def _carry_out(self, outputs: list[DispatchOutput]) -> None:
         term = self._term
--- a/src/sardinemast/model/_orders.py
+++ b/src/sardinemast/model/_orders.py
@@ -7,17 +7,17 @@
     DispatchEvent,
     DispatchOutput,
     ListInstances,
-    LookAnswer,
-    LookAtWorker,
+    MaintenanceAnswered,
     MoveAnswered,
+    OrderMaintenance,
     OrderMove,
     OrderOutcome,
-    OrderUpkeep,
-    RunAnswered,
+    PollWorker,
+    StartAnswered,
     StartRun,
     StopRun,
-    UpkeepAnswered,
-    WorkerLooked,
+    WorkerPolled,
+    WorkerReport,
 )
 from sardinemast.jobs import JobsState, Step
 from sardinemast.model._clock import VirtualClock
@@ -61,7 +61,7 @@
             self._clock.call_later(_WAY_S, lambda: answer(event))
 
         def arrive() -> None:
-            if isinstance(order, LookAtWorker):
+            if isinstance(order, PollWorker):
                 self._look(order, reply)
             elif isinstance(order, StartRun):
                 self._start(order, reply)
@@ -71,7 +71,7 @@
                 is_done = self._instances.move(order.instance, order.pool)
                 outcome = _get_outcome(is_done=is_done)
                 reply(MoveAnswered(order.instance, order.pool, outcome))
-            elif isinstance(order, OrderUpkeep):
+            elif isinstance(order, OrderMaintenance):
                 is_done = self._instances.maintain(order.instance)
                 reply(_make_upkeep_answer(order, is_done=is_done))
             elif isinstance(order, ListInstances):
@@ -79,11 +79,11 @@
 
         self._clock.call_later(_WAY_S, arrive)
 
-    def _look(self, order: LookAtWorker, reply: Answer) -> None:
+    def _look(self, order: PollWorker, reply: Answer) -> None:
         name = order.worker.name
         is_over = False
 
-        def end(answer: LookAnswer | None) -> None:
+        def end(answer: WorkerReport | None) -> None:
             nonlocal is_over
             if not is_over:
                 is_over = True
@@ -98,7 +98,7 @@
         model = self._find(name)
         if model is None:
             return
-        model.forget_ends(order.seen)
+        model.forget_ends(order.acked_position)
         if model.ends or not order.wait_ms:
             tell()
         else:
@@ -115,7 +115,7 @@
         room = step.spec.reserved_size.millicores
         answer = model.start(order, room, truth.run_s, now_s)
         reply(
-            RunAnswered(
+            StartAnswered(
                 order.worker.name,
                 order.task,
                 order.number,
@@ -179,12 +179,12 @@
 
 
 def _make_looked(
-    order: LookAtWorker,
-    answer: LookAnswer | None,
-) -> WorkerLooked:
+    order: PollWorker,
+    answer: WorkerReport | None,
+) -> WorkerPolled:
     outcome = OrderOutcome.unknown if answer is None else OrderOutcome.done
     name = order.worker.name
-    return WorkerLooked(name, order.fence, order.sent_s, outcome, answer)
+    return WorkerPolled(name, order.fence, order.sent_s, outcome, answer)
 
 
 def _get_outcome(*, is_done: bool) -> OrderOutcome:
@@ -192,11 +192,11 @@
 
 
 def _make_upkeep_answer(
-    order: OrderUpkeep,
+    order: OrderMaintenance,
     *,
     is_done: bool,
-) -> UpkeepAnswered:
-    return UpkeepAnswered(
+) -> MaintenanceAnswered:
+    return MaintenanceAnswered(
         order.instance,
         order.wave,
         order.boot_ms,
--- a/src/sardinemast/model/_workers.py
+++ b/src/sardinemast/model/_workers.py
@@ -3,12 +3,12 @@
 from typing import NamedTuple
 
 from sardinemast.dispatch import (
-    ListedEnd,
-    ListedRun,
-    LookAnswer,
-    LookAtWorker,
     OrderOutcome,
+    PollWorker,
+    ReportedEnd,
+    ReportedRun,
     StartRun,
+    WorkerReport,
 )
 from sardinemast.jobs import TaskKey, Worker
 
@@ -63,7 +63,7 @@
         self.is_failing = False
         self.slowness: float = 1
         self.running: dict[TaskKey, ModelRun] = {}
-        self.ends: list[ListedEnd] = []
+        self.ends: list[ReportedEnd] = []
         self._born_s = born_s
         self._fence = 0
         self._position = 0
@@ -76,14 +76,14 @@
         """Forget the ends up to one that the leader has recorded."""
         self.ends = [one for one in self.ends if one.position > seen]
 
-    def look(self, order: LookAtWorker, now_s: float) -> LookAnswer:
+    def look(self, order: PollWorker, now_s: float) -> WorkerReport:
         """Answer a look."""
         self._fence = max(self._fence, order.fence)
         listed = tuple(
-            ListedRun(task, run.number, '', run.get_percent(now_s))
+            ReportedRun(task, run.number, '', run.get_percent(now_s))
             for task, run in self.running.items()
         )
-        return LookAnswer(
+        return WorkerReport(
             self.worker.boot_ms,
             max(int((now_s - self._born_s) * _MS), 1),
             listed,
@@ -112,4 +112,4 @@
         """End a run and list its end."""
         run = self.running.pop(task)
         self._position += 1
-        self.ends.append(ListedEnd(self._position, task, run.number, result))
+        self.ends.append(ReportedEnd(self._position, task, run.number, result))
--- a/src/sardinemast/platform/_services.py
+++ b/src/sardinemast/platform/_services.py
@@ -9,15 +9,15 @@
 from sardinemast.conf import Address
 from sardinemast.dispatch import (
     AdviceAnswered,
-    AskAdvice,
     InstancesListed,
     ListedInstance,
     ListInstances,
+    MaintenanceAnswered,
     MoveAnswered,
+    OrderMaintenance,
     OrderMove,
     OrderOutcome,
-    OrderUpkeep,
-    UpkeepAnswered,
+    RequestAdvice,
 )
 from sardinemast.membership import Announcement
 from sardinemast.platform._exchanges import (
@@ -58,9 +58,9 @@
 
     async def send_upkeep(
         self,
-        order: OrderUpkeep,
+        order: OrderMaintenance,
         valid_until_s: float,
-    ) -> UpkeepAnswered:
+    ) -> MaintenanceAnswered:
         """Have an instance maintained."""
         body = {'machine': order.instance, 'wave': order.wave}
         reply = await self._order_instance(
@@ -69,7 +69,7 @@
             body,
             valid_until_s,
         )
-        return UpkeepAnswered(
+        return MaintenanceAnswered(
             order.instance,
             order.wave,
             order.boot_ms,
@@ -95,7 +95,7 @@
 
     async def ask(
         self,
-        order: AskAdvice,
+        order: RequestAdvice,
         valid_until_s: float,
     ) -> AdviceAnswered:
         """Ask which workers may run a step."""
@@ -141,7 +141,7 @@
 
     async def _order_instance(
         self,
-        order: OrderUpkeep | OrderMove,
+        order: OrderMaintenance | OrderMove,
         path: str,
         body: dict[str, Any],
         valid_until_s: float,
--- a/src/sardinemast/platform/_translate.py
+++ b/src/sardinemast/platform/_translate.py
@@ -3,11 +3,11 @@
 from typing import Any
 
 from sardinemast.dispatch import (
-    ListedEnd,
     ListedInstance,
-    ListedRun,
-    LookAnswer,
+    ReportedEnd,
+    ReportedRun,
     Ticket,
+    WorkerReport,
 )
 from sardinemast.jobs import (
     Advice,
@@ -101,9 +101,9 @@
     )
 
 
-def make_look_answer(body: ListsBody) -> LookAnswer:
+def make_look_answer(body: ListsBody) -> WorkerReport:
     """Give what a worker lists, without rows that make no sense."""
-    return LookAnswer(
+    return WorkerReport(
         body.get('born', 0),
         body.get('wall_ms', 0),
         tuple(_iterate_runs(body.get('running', []))),
@@ -140,7 +140,7 @@
     for row in rows:
         task = read_task(row.task)
         if task is not None:
-            yield ListedRun(
+            yield ReportedRun(
                 task,
                 row.run,
                 row.saved,
@@ -153,7 +153,7 @@
     for row in rows:
         task = read_task(row.task)
         if task is not None:
-            yield ListedEnd(row.position, task, row.run, row.how, row.saved)
+            yield ReportedEnd(row.position, task, row.run, row.how, row.saved)
 
 
 def _make_size(body: CapacityBody | StepBody) -> Size:
--- a/src/sardinemast/platform/_workers.py
+++ b/src/sardinemast/platform/_workers.py
@@ -8,18 +8,18 @@
 from sardinemast.conf import Address
 from sardinemast.control import ControlEvent
 from sardinemast.dispatch import (
-    AskAdvice,
     DispatchOutput,
     ListInstances,
-    LookAtWorker,
+    OrderMaintenance,
     OrderMove,
     OrderOutcome,
-    OrderUpkeep,
-    PaceRun,
-    RunAnswered,
+    PollWorker,
+    RequestAdvice,
+    StartAnswered,
     StartRun,
     StopRun,
-    WorkerLooked,
+    ThrottleRun,
+    WorkerPolled,
 )
 from sardinemast.jobs import Worker
 from sardinemast.membership import Announcement
@@ -84,7 +84,7 @@
     @_carry.register
     async def _carry_upkeep(
         self,
-        order: OrderUpkeep,
+        order: OrderMaintenance,
         valid_until_s: float,
     ) -> ControlEvent:
         return await self._services.send_upkeep(order, valid_until_s)
@@ -100,7 +100,7 @@
     @_carry.register
     async def _carry_question(
         self,
-        order: AskAdvice,
+        order: RequestAdvice,
         valid_until_s: float,
     ) -> ControlEvent:
         return await self._services.ask(order, valid_until_s)
@@ -116,12 +116,12 @@
     @_carry.register
     async def _carry_look(
         self,
-        order: LookAtWorker,
+        order: PollWorker,
         valid_until_s: float,
     ) -> ControlEvent:
         body: dict[str, Any] = {
             'fence': order.fence,
-            'last_seen': order.seen,
+            'last_seen': order.acked_position,
             'wait_ms': order.wait_ms,
         }
         if order.expires_ms is not None:
@@ -130,7 +130,7 @@
         answer = None
         if reply.outcome is OrderOutcome.done and reply.body is not None:
             answer = make_look_answer(reply.body)
-        return WorkerLooked(
+        return WorkerPolled(
             order.worker.name,
             order.fence,
             order.sent_s,
@@ -157,7 +157,7 @@
             body['ticket'] = order.ticket
         reply = await self._post(order, '/run-start', body, valid_until_s)
         answered = reply.body or {}
-        return RunAnswered(
+        return StartAnswered(
             order.worker.name,
             order.task,
             order.number,
@@ -182,7 +182,7 @@
     @_carry.register
     async def _carry_pace(
         self,
-        order: PaceRun,
+        order: ThrottleRun,
         valid_until_s: float,
     ) -> None:
         body = {
@@ -195,7 +195,7 @@
 
     async def _post(
         self,
-        order: LookAtWorker | StartRun | StopRun | PaceRun,
+        order: PollWorker | StartRun | StopRun | ThrottleRun,
         path: str,
         body: dict[str, Any],
         valid_until_s: float,
--- a/tests/builders/model_workers.py
+++ b/tests/builders/model_workers.py
@@ -4,17 +4,17 @@
 
 from sardinemast.dispatch import (
     AdviceAnswered,
-    AskAdvice,
-    ListedEnd,
-    ListedRun,
-    LookAnswer,
-    LookAtWorker,
     OrderMove,
     OrderOutcome,
-    PaceRun,
+    PollWorker,
+    ReportedEnd,
+    ReportedRun,
+    RequestAdvice,
     StartRun,
     StopRun,
+    ThrottleRun,
     Ticket,
+    WorkerReport,
 )
 from sardinemast.jobs import TaskKey, Worker
 
@@ -37,7 +37,7 @@
         self.expires_ms: float = 0
         self.running: dict[TaskKey, int] = {}
         self.highest: dict[TaskKey, int] = {}
-        self.ends: list[ListedEnd] = []
+        self.ends: list[ReportedEnd] = []
         self.paces: dict[TaskKey, int] = {}
         self.gauges: dict[TaskKey, int] = {}
         self.percent = 100
@@ -65,7 +65,7 @@
         self._position += 1
         number = self.running.pop(task)
         self.ends.append(
-            ListedEnd(self._position, task, number, result, checkpoint),
+            ReportedEnd(self._position, task, number, result, checkpoint),
         )
 
     def carry_out(self, order: Any, true_s: float) -> Any:
@@ -74,24 +74,26 @@
         if order.fence < self.fence:
             return OrderOutcome.refused, 'fence'
         self.fence = order.fence
-        if isinstance(order, LookAtWorker):
+        if isinstance(order, PollWorker):
             return OrderOutcome.done, self._look(order, true_s)
         if isinstance(order, StartRun):
             return self._start(order, true_s)
         if isinstance(order, StopRun):
             self._stop(order, true_s)
-        elif isinstance(order, PaceRun):
+        elif isinstance(order, ThrottleRun):
             self.paces[order.task] = order.percent
         return OrderOutcome.done, ''
 
-    def _look(self, order: LookAtWorker, true_s: float) -> LookAnswer:
+    def _look(self, order: PollWorker, true_s: float) -> WorkerReport:
         self.expires_ms = max(self.expires_ms, order.expires_ms or 0)
-        self.ends = [one for one in self.ends if one.position > order.seen]
-        return LookAnswer(
+        self.ends = [
+            one for one in self.ends if one.position > order.acked_position
+        ]
+        return WorkerReport(
             self.worker.boot_ms,
             self.get_clock_ms(true_s),
             tuple(
-                ListedRun(
+                ReportedRun(
                     task,
                     number,
                     '',
@@ -131,10 +133,10 @@
 
     def __init__(self) -> None:
         self.allowed: set[str] = set()
-        self.questions: list[AskAdvice] = []
+        self.questions: list[RequestAdvice] = []
         self.is_silent = False
 
-    def answer(self, asked: AskAdvice) -> AdviceAnswered:
+    def answer(self, asked: RequestAdvice) -> AdviceAnswered:
         """Give tickets for the workers that are allowed."""
         tickets = tuple(
             Ticket(worker.name, f'{asked.step}@{worker.name}')
--- a/tests/builders/workers.py
+++ b/tests/builders/workers.py
@@ -10,7 +10,6 @@
     OrderSeen,
 )
 from sardinemast.dispatch import (
-    AskAdvice,
     Dispatcher,
     DispatchEvent,
     DispatchOutput,
@@ -19,18 +18,19 @@
     ListedInstance,
     ListInstances,
     LogDecision,
-    LookAnswer,
-    LookAtWorker,
+    MaintenanceAnswered,
     MoveAnswered,
+    OrderMaintenance,
     OrderMove,
     OrderOutcome,
-    OrderUpkeep,
+    PollWorker,
     PoolPolicy,
     Propose,
-    RunAnswered,
+    RequestAdvice,
+    StartAnswered,
     StartRun,
-    UpkeepAnswered,
-    WorkerLooked,
+    WorkerPolled,
+    WorkerReport,
 )
 from sardinemast.jobs import (
     Advice,
@@ -141,7 +141,7 @@
         self.state = JobsState()
         self.dispatcher = Dispatcher(_SETTINGS)
         self.follower = Dispatcher(_SETTINGS)
-        self.follower.note_gap(self.now_s)
+        self.follower.reset_order_times(self.now_s)
         self.workers: dict[str, ModelWorker] = {}
         self.is_held = False
         self.proposed: deque[Command] = deque()
@@ -192,7 +192,7 @@
         self._waiting.clear()
         self.dispatcher = self.follower
         self.follower = Dispatcher(_SETTINGS)
-        self.follower.note_gap(self.now_s)
+        self.follower.reset_order_times(self.now_s)
         self.dispatcher.start_term(self.state, self.term, self.now_s)
 
     def submit(self, name: str, *steps: Step, team: str = TEAM) -> None:
@@ -204,11 +204,13 @@
         """Have a command applied, and tell the leader."""
         self.log_length += 1
         apply_command(command, self.state, self.log_length)
-        self.dispatcher.note_logged(command, self.now_s)
-        self.follower.note_logged(command, self.now_s)
+        self.dispatcher.record_order_time(command, self.now_s)
+        self.follower.record_order_time(command, self.now_s)
         if self.term:
             self._execute(
-                self.dispatcher.note_applied(command, self.now_s, self.now_ms),
+                self.dispatcher.handle_applied(
+                    command, self.now_s, self.now_ms
+                ),
             )
 
     def commit_held(self) -> None:
@@ -224,7 +226,7 @@
                 model.note_time(self.now_s)
                 if not (model.is_dark or model.is_mute):
                     name = model.worker.name
-                    self.dispatcher.note_announced(name, self.now_s)
+                    self.dispatcher.record_announcement(name, self.now_s)
             self._answer_due()
             self._execute(self.dispatcher.tick(self.now_s, self.now_ms))
 
@@ -242,11 +244,11 @@
                 self.proposed.append(output.command)
             elif isinstance(output, LogDecision):
                 self.logged.append(f'{output.event} {output.subject}')
-            elif isinstance(output, OrderUpkeep):
+            elif isinstance(output, OrderMaintenance):
                 self.instances.upkeeps.append(output.instance)
                 self._note_order(output)
                 self._waiting.append(_Waiting(output, self.now_s))
-            elif isinstance(output, AskAdvice):
+            elif isinstance(output, RequestAdvice):
                 self.policy.questions.append(output)
                 answer_s = self.now_s + ADVICE_S
                 self._waiting.append(_Waiting(output, answer_s))
@@ -261,7 +263,7 @@
         if not self.is_held:
             self.commit_held()
 
-    def _note_order(self, order: OrderMove | OrderUpkeep) -> None:
+    def _note_order(self, order: OrderMove | OrderMaintenance) -> None:
         seen = OrderSeen(order.instance, order.token, self.now_s)
         self.instances.seen.append(seen)
 
@@ -272,7 +274,7 @@
         model = self.workers.get(order.worker.name)
         if model is None or model.is_dark:
             due_s += order.timeout_s
-        elif isinstance(order, LookAtWorker):
+        elif isinstance(order, PollWorker):
             due_s += order.wait_ms / _MS
         self._waiting.append(_Waiting(order, due_s))
 
@@ -286,7 +288,7 @@
                 self._waiting.append(one)
 
     def _is_due(self, waiting: _Waiting) -> bool:
-        if isinstance(waiting.order, LookAtWorker):
+        if isinstance(waiting.order, PollWorker):
             model = self.workers.get(waiting.order.worker.name)
             if model is not None and not model.is_dark and model.ends:
                 return True
@@ -294,12 +296,12 @@
 
     def _answer(self, order: Any) -> None:
         event: DispatchEvent | None = None
-        if isinstance(order, OrderUpkeep):
+        if isinstance(order, OrderMaintenance):
             is_refused = order.instance in self.instances.refused
             if not is_refused:
                 back_s = self.now_s + UPKEEP_S
                 self.instances.away_until_s[order.instance] = back_s
-            event = UpkeepAnswered(
+            event = MaintenanceAnswered(
                 order.instance,
                 order.wave,
                 order.boot_ms,
@@ -309,7 +311,7 @@
             self.instances.lost_lists -= 1
         elif isinstance(order, ListInstances):
             event = InstancesListed(self._list_instances(), order.asked_s)
-        elif isinstance(order, AskAdvice):
+        elif isinstance(order, RequestAdvice):
             event = self.policy.answer(order)
         elif isinstance(order, OrderMove):
             done = OrderOutcome.done
@@ -352,11 +354,11 @@
                 outcome, body = OrderOutcome.unknown, None
         elif model is not None:
             self.late.append((model, order))
-        if isinstance(order, LookAtWorker):
-            answer = body if isinstance(body, LookAnswer) else None
+        if isinstance(order, PollWorker):
+            answer = body if isinstance(body, WorkerReport) else None
             sent_s = order.sent_s
-            return WorkerLooked(name, order.fence, sent_s, outcome, answer)
+            return WorkerPolled(name, order.fence, sent_s, outcome, answer)
         if isinstance(order, StartRun):
             task, number = order.task, order.number
-            return RunAnswered(name, task, number, outcome, body or '')
+            return StartAnswered(name, task, number, outcome, body or '')
         return None
--- a/tests/dispatch/test_moves.py
+++ b/tests/dispatch/test_moves.py
@@ -75,7 +75,7 @@
 
 def _elect_with_snapshot(fleet: ModelFleet) -> None:
     """Elect a process that has not seen when the log named which instance."""
-    fleet.follower.note_gap(fleet.now_s)
+    fleet.follower.reset_order_times(fleet.now_s)
     _elect_and_fill(fleet)
 
 
--- a/tests/dispatch/test_peaks.py
+++ b/tests/dispatch/test_peaks.py
@@ -8,9 +8,9 @@
 
 from builders.workers import POOL, ModelFleet, make_step
 from sardinemast.dispatch import PoolPolicy
-from sardinemast.dispatch._loads import PoolLoad
 from sardinemast.dispatch._peak_history import recall_peaks
-from sardinemast.dispatch._peaks import PeakBook
+from sardinemast.dispatch._peaks import PeakTracker
+from sardinemast.dispatch._pool_load import PoolLoad
 from sardinemast.dispatch._pool_sizes import PoolNeed, count_needed
 
 _POOLS = ('a', 'b', 'c', 'd')
@@ -20,7 +20,7 @@
 _POLICY = PoolPolicy()
 
 
-def _play(book: PeakBook, until_s: float, share: float = 0.9) -> None:
+def _play(book: PeakTracker, until_s: float, share: float = 0.9) -> None:
     book.pool_count = len(_POOLS)
     for step in range(round(until_s / _STEP_S)):
         now_s = step * _STEP_S
@@ -29,20 +29,20 @@
             book.note(pool, share if place == turn else 0.03, now_s)
 
 
-def _count(pool: str, load: PoolLoad, book: PeakBook, now_s: float) -> int:
+def _count(pool: str, load: PoolLoad, book: PeakTracker, now_s: float) -> int:
     return count_needed(pool, load, _NEED, book, now_s, _POLICY)
 
 
 def test_next_peak_is_known_after_one_round() -> None:
     """The first pool peaks again after a round, and so will the others."""
-    book = PeakBook()
+    book = PeakTracker()
     _play(book, 20)
     assert round(book.get_next_start_s('b')) in {22, 23}
 
 
 def test_next_peak_is_guessed_from_two_turns() -> None:
     """Before a round is over, each pool is taken to have one turn."""
-    book = PeakBook()
+    book = PeakTracker()
     _play(book, 6)
     assert round(book.get_next_start_s('a')) == 18
 
@@ -53,7 +53,7 @@
     With nearly all of its workers switched off, parents would wait two
     seconds for them and miss their seats.
     """
-    book = PeakBook()
+    book = PeakTracker()
     _play(book, 6)
     calm = PoolLoad(room=512_000, free=500_000, workers=8)
     assert _count('d', calm, book, 6) == 4
@@ -61,7 +61,7 @@
 
 def test_calm_pool_shrinks_and_is_back_before_its_peak() -> None:
     """Between its peaks a pool keeps one worker beyond what it runs."""
-    book = PeakBook()
+    book = PeakTracker()
     _play(book, 20)
     calm = PoolLoad(room=512_000, free=480_000, passing=0, workers=8)
     next_s = book.get_next_start_s('b')
@@ -75,7 +75,7 @@
     Asked for once tasks wait, the workers come two seconds later, and what
     was submitted in between misses its target.
     """
-    book = PeakBook()
+    book = PeakTracker()
     _play(book, 2)
     rising = PoolLoad(room=512_000, free=30_000, passing=482_000, workers=8)
     assert _count('a', rising, book, 2) == 9
@@ -84,7 +84,7 @@
 def test_pool_without_room_asks_for_what_is_missing() -> None:
     """Work for three workers more waits than the pool has room for."""
     full = PoolLoad(room=512_000, free=0, wanted=150_000, workers=8)
-    assert _count('a', full, PeakBook(), 3) == 11
+    assert _count('a', full, PeakTracker(), 3) == 11
 
 
 def test_pool_gets_no_more_than_twice_its_usual_workers() -> None:
@@ -94,11 +94,11 @@
     were missing in the pool whose peak came next.
     """
     piled = PoolLoad(room=512_000, free=0, wanted=1_900_000, workers=8)
-    assert _count('a', piled, PeakBook(), 3) == 2 * _NEED.usual + 8
+    assert _count('a', piled, PeakTracker(), 3) == 2 * _NEED.usual + 8
     calm = piled._replace(passing=512_000)
-    assert _count('a', calm, PeakBook(), 3) == 2 * _NEED.usual
+    assert _count('a', calm, PeakTracker(), 3) == 2 * _NEED.usual
     more = calm._replace(workers=20)
-    assert _count('a', more, PeakBook(), 3) == 20
+    assert _count('a', more, PeakTracker(), 3) == 20
 
 
 def test_pool_that_no_instance_began_in_can_grow() -> None:
@@ -108,7 +108,7 @@
     """
     full = PoolLoad(room=128_000, free=0, wanted=64_000, workers=2)
     need = _NEED._replace(usual=0)
-    assert count_needed('a', full, need, PeakBook(), 3, _POLICY) == 3
+    assert count_needed('a', full, need, PeakTracker(), 3, _POLICY) == 3
 
 
 def test_pools_shrink_once_the_queues_have_stopped_peaking() -> None:
@@ -116,7 +116,7 @@
 
     It kept all of its instances on, and so did the next ones, all night.
     """
-    book = PeakBook()
+    book = PeakTracker()
     _play(book, 20)
     calm = PoolLoad(room=512_000, free=512_000, workers=8)
     late_s = book.get_next_start_s('b') + 1
@@ -136,7 +136,7 @@
     queues that peak in turns of 4.5 s and go from next to nothing to 1.6
     times their pool's room within a moment.
     """
-    book = PeakBook()
+    book = PeakTracker()
     _play(book, 17, share=1.6)
     calm = PoolLoad(room=128_000, free=128_000, workers=2)
     next_s = book.get_next_start_s('a')
@@ -146,7 +146,7 @@
 
 def test_peak_that_has_just_begun_gets_what_others_asked_for() -> None:
     """A pool's first peak is as steep as those of the queues before it."""
-    book = PeakBook()
+    book = PeakTracker()
     _play(book, 2 * _TURN_S + 0.6, share=1.6)
     assert book.is_peak('c')
     rising = PoolLoad(room=256_000, free=128_000, passing=128_000, workers=4)
@@ -159,7 +159,7 @@
     Taken for a second peak, the time between the two would be the length of
     a round, and the pool would never be calm.
     """
-    book = PeakBook()
+    book = PeakTracker()
     book.pool_count = len(_POOLS)
     lengths = ((0.9, 10), (0.05, 4), (0.9, 10), (0.02, 20))
     shares = chain.from_iterable(repeat(*one) for one in lengths)
@@ -174,7 +174,7 @@
     Kept until the peak was over for sure, the lent workers reached the next
     pool a second later than they could, in the middle of its peak.
     """
-    book = PeakBook()
+    book = PeakTracker()
     _play(book, 2)
     fading = PoolLoad(room=1_024_000, free=700_000, passing=324_000, workers=16)
     assert _count('a', fading, book, 2) == 12
@@ -184,7 +184,7 @@
 
 def test_one_large_job_is_no_peak() -> None:
     """A single wide step asks for much, and is over in a moment."""
-    book = PeakBook()
+    book = PeakTracker()
     book.note('a', 0.8, 1)
     book.note('a', 0.8, 1.15)
     book.note('a', 0.02, 1.3)
--- a/tests/platform/test_translate.py
+++ b/tests/platform/test_translate.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from sardinemast.dispatch import ListedEnd, ListedRun
+from sardinemast.dispatch import ReportedEnd, ReportedRun
 from sardinemast.jobs import TaskKey, check_catalog
 from sardinemast.platform._job_bodies import ConfigBody, JobBody
 from sardinemast.platform._translate import (
@@ -152,9 +152,11 @@
     )
     answer = make_look_answer(decode(body, ListsBody))
     assert answer.boot_ms == 5
-    assert answer.running == (ListedRun(TaskKey('j', 0, 1, 2), 3, 'c', 40, 7),)
+    assert answer.running == (
+        ReportedRun(TaskKey('j', 0, 1, 2), 3, 'c', 40, 7),
+    )
     assert answer.ended == (
-        ListedEnd(2, TaskKey('j', 0, 0, 1), 1, 'done', 'z'),
+        ReportedEnd(2, TaskKey('j', 0, 0, 1), 1, 'done', 'z'),
     )
 
 
