--- a/src/sardinemast/dispatch/_planner.py
+++ b/src/sardinemast/dispatch/_planner.py
@@ -128,7 +128,9 @@
         used = self._used_by_team.get(team, ZERO_SIZE)
         self._used_by_team[team] = used.plus(step.spec.size)
         self._starts.append(
-            RunStart(step.get_task(index), step.get_next_number(index), worker),
+            RunStart(
+                step.get_task(index), step.get_next_run_number(index), worker
+            ),
         )
         return worker
 
--- a/src/sardinemast/jobs/__init__.py
+++ b/src/sardinemast/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs of many tasks, the queues that take them and what runs them."""
+"""Replicated state of jobs, queues and workers."""
 
 from sardinemast.jobs._apply import apply_command
 from sardinemast.jobs._checks import CatalogFinding, check_catalog
--- a/src/sardinemast/jobs/_apply.py
+++ b/src/sardinemast/jobs/_apply.py
@@ -1,12 +1,12 @@
-"""Apply commands to the state of jobs."""
+"""Apply commands from the log to the state of jobs."""
 
 from functools import singledispatch
 
 from sardinemast.jobs import commands
 from sardinemast.jobs._apply_maintenance import (
     declare_wave,
-    note_move,
-    note_upkeep,
+    record_maintenance,
+    record_move,
 )
 from sardinemast.jobs._records import (
     Run,
@@ -15,8 +15,8 @@
 )
 from sardinemast.jobs._state import JobsState, JobState, StepState
 
-# A job that is over can be read this long, twice what callers are promised.
-KEPT_MS = 240_000
+# Twice the retention of ended jobs that callers are promised.
+JOB_RETENTION_MS = 240_000
 
 
 @singledispatch
@@ -25,7 +25,7 @@
     state: JobsState,
     log_index: int,
 ) -> None:
-    """Change the state by the command at the index; what is stale is left."""
+    """Apply the command at the log index; ignore stale commands."""
     raise TypeError(command)
 
 
@@ -48,19 +48,19 @@
     queue = state.queues.get(command.queue)
     if command.name in state.jobs or queue is None:
         return
-    _drop_old(state, command.noted_ms)
+    _expire_jobs(state, command.submitted_ms)
     job = JobState(
         command.name,
         queue,
         command.team,
         command.request,
         log_index,
-        command.noted_ms,
+        command.submitted_ms,
     )
     state.jobs[job.name] = job
     state.live[job.name] = job
     if not job.request.occurrences:
-        _open(state, job, 0)
+        _start_occurrence(state, job, 0)
 
 
 @apply_command.register
@@ -72,7 +72,7 @@
     job = state.jobs.get(command.name)
     if job is not None and not job.is_over:
         job.is_cancelled = True
-        _close(state, job)
+        _finish_job(state, job)
 
 
 @apply_command.register
@@ -84,11 +84,11 @@
     job = state.jobs.get(command.job)
     if job is None or job.is_over or command.occurrence in job.steps:
         return
-    _open(state, job, command.occurrence)
+    _start_occurrence(state, job, command.occurrence)
 
 
 @apply_command.register
-def _apply_worker(
+def _apply_registration(
     command: commands.RegisterWorker,
     state: JobsState,
     log_index: int,
@@ -97,13 +97,12 @@
     known = state.workers.get(worker.name)
     if known is not None and known.boot_ms > worker.boot_ms:
         return
-    # Runs of an earlier boot stay until the leader has looked: a start that
-    # crossed the restart may have reached the new boot.
+    # Runs of an earlier boot stay until the leader has polled the worker: a
+    # start order that was in flight may have reached the new boot.
     state.put_worker(worker)
-    # An instance has one worker at a time, and so has an address. Without
-    # this the tasks of one that was replaced would wait for the end of its
-    # lease.
-    for other in state.worker_index.list_beside(worker):
+    # An instance or address has one worker at a time. Drop replaced workers
+    # now, so that their tasks restart before the old lease expires.
+    for other in state.worker_index.list_colocated(worker):
         if worker.boot_ms > other.boot_ms:
             _forget_worker(state, other)
     if worker.instance:
@@ -111,7 +110,7 @@
 
 
 @apply_command.register
-def _apply_leaving(
+def _apply_worker_removal(
     command: commands.ForgetWorker,
     state: JobsState,
     log_index: int,
@@ -128,20 +127,20 @@
     state: JobsState,
     log_index: int,
 ) -> None:
-    for over in command.ends:
-        step = state.find_step(over.task)
-        run = step.running.get(over.task.position) if step else None
-        if step and run is not None and run.number == over.number:
-            if over.checkpoint:
-                step.checkpoints[over.task.position] = over.checkpoint
-            _end_run(state, step, over.task.position, over.end)
+    for finished in command.ends:
+        step = state.find_step(finished.task)
+        run = step.running.get(finished.task.position) if step else None
+        if step and run is not None and run.number == finished.number:
+            if finished.checkpoint:
+                step.checkpoints[finished.task.position] = finished.checkpoint
+            _end_run(state, step, finished.task.position, finished.end)
     for start in command.starts:
         _start_run(state, start)
 
 
 apply_command.register(commands.DeclareWave, declare_wave)
-apply_command.register(commands.NoteUpkeep, note_upkeep)
-apply_command.register(commands.NoteMove, note_move)
+apply_command.register(commands.NoteUpkeep, record_maintenance)
+apply_command.register(commands.NoteMove, record_move)
 
 
 def _forget_worker(state: JobsState, worker: Worker) -> None:
@@ -152,10 +151,10 @@
     state.drop_worker(worker.name)
 
 
-def _open(state: JobsState, job: JobState, occurrence: int) -> None:
-    opened = job.open_occurrence(occurrence)
+def _start_occurrence(state: JobsState, job: JobState, occurrence: int) -> None:
+    new_steps = job.open_occurrence(occurrence)
     state.ready.update(
-        (step.key, step) for step in opened if job.is_ready(step)
+        (step.key, step) for step in new_steps if job.is_ready(step)
     )
 
 
@@ -166,8 +165,8 @@
         return
     if start.worker not in state.workers or step.key not in state.ready:
         return
-    if step.accepts(index, start.number):
-        state.jobs[start.task.job].has_begun = True
+    if step.can_start(index, start.number):
+        state.jobs[start.task.job].has_started = True
         state.add_run(step, index, Run(start.number, start.worker))
 
 
@@ -186,7 +185,7 @@
         return
     step.waiting[index] = None
     if end is RunEnd.failed and not step.spec.is_long_running:
-        _note_failure(state, job, step, index)
+        _record_failure(state, job, step, index)
 
 
 def _finish_task(
@@ -198,47 +197,48 @@
     step.done.add(index)
     step.checkpoints.pop(index, None)
     if step.spec.is_gang:
-        # One end stands for all members: they work and end only together.
+        # The members of a gang finish together, so one end ends them all.
         for member in tuple(step.running):
             state.remove_run(step, member)
         step.done.update(range(step.spec.task_count))
         step.waiting.clear()
     if step.is_done:
         state.ready.pop(step.key, None)
-        _go_on(state, job, step)
+        _advance_job(state, job, step)
 
 
-def _go_on(state: JobsState, job: JobState, ended: StepState) -> None:
+def _advance_job(state: JobsState, job: JobState, ended: StepState) -> None:
     steps = job.steps[ended.key.occurrence]
     for step in steps:
         if not step.is_done and job.is_ready(step):
             state.ready.setdefault(step.key, step)
-    wanted = max(job.request.occurrences, 1)
-    if len(job.steps) == wanted:
+    occurrence_count = max(job.request.occurrences, 1)
+    if len(job.steps) == occurrence_count:
         job.is_done = all(one.is_done for one in job.iterate_steps())
         if job.is_done:
-            _close(state, job)
+            _finish_job(state, job)
 
 
-def _note_failure(
+def _record_failure(
     state: JobsState,
     job: JobState,
     step: StepState,
     index: int,
 ) -> None:
-    # The members of a gang fail together, and that is one failed attempt.
-    counted = 0 if step.spec.is_gang else index
-    number = step.numbers[index]
+    # A gang fails as a whole: count one failure for each run number. Key -1
+    # holds the number of the last run that was counted.
+    failure_key = 0 if step.spec.is_gang else index
+    number = step.run_numbers[index]
     if step.spec.is_gang and step.failures.get(-1) == number:
         return
     step.failures[-1] = number
-    step.failures[counted] = step.failures.get(counted, 0) + 1
-    if step.failures[counted] >= job.queue.max_attempts:
+    step.failures[failure_key] = step.failures.get(failure_key, 0) + 1
+    if step.failures[failure_key] >= job.queue.max_attempts:
         job.is_failed = True
-        _close(state, job)
+        _finish_job(state, job)
 
 
-def _close(state: JobsState, job: JobState) -> None:
+def _finish_job(state: JobsState, job: JobState) -> None:
     state.live.pop(job.name, None)
     state.ended[job.name] = None
     for step in job.iterate_steps():
@@ -246,12 +246,12 @@
         state.ready.pop(step.key, None)
 
 
-def _drop_old(state: JobsState, now_ms: int) -> None:
-    # ``ended`` is in the order of ends, which is near that of submissions;
-    # one old job at its head may keep a few behind it a little longer.
+def _expire_jobs(state: JobsState, now_ms: int) -> None:
+    # ``ended`` is ordered by end. A job at its head that was submitted late
+    # or still has runs may keep expired jobs behind it a little longer.
     for name in tuple(state.ended):
         job = state.jobs[name]
-        if job.submitted_ms + KEPT_MS > now_ms:
+        if job.submitted_ms + JOB_RETENTION_MS > now_ms:
             return
         if any(step.running for step in job.iterate_steps()):
             return
--- a/src/sardinemast/jobs/_apply_maintenance.py
+++ b/src/sardinemast/jobs/_apply_maintenance.py
@@ -1,4 +1,4 @@
-"""Apply commands about instances: waves of maintenance, and moves."""
+"""Apply commands about maintenance waves and moves of instances."""
 
 from sardinemast.jobs import commands
 from sardinemast.jobs._records import MaintenanceStatus, Wave, WaveItem
@@ -10,7 +10,7 @@
     state: JobsState,
     log_index: int,
 ) -> None:
-    """Take in a wave that is not known yet."""
+    """Store a wave unless its number is known."""
     if command.number not in state.waves:
         state.waves[command.number] = Wave(
             command.number,
@@ -21,13 +21,13 @@
         )
 
 
-def note_upkeep(
+def record_maintenance(
     command: commands.NoteUpkeep,
     state: JobsState,
     log_index: int,
 ) -> None:
-    """Note how far an instance of a wave is."""
-    state.last_order_ms[command.instance] = command.noted_ms
+    """Update the maintenance status of an instance of a wave."""
+    state.last_order_ms[command.instance] = command.recorded_ms
     wave = state.waves.get(command.wave)
     if wave is None:
         return
@@ -44,12 +44,12 @@
     state.waves[wave.number] = wave._replace(items=items)
 
 
-def note_move(
+def record_move(
     command: commands.NoteMove,
     state: JobsState,
     log_index: int,
 ) -> None:
-    """Note that an instance is moved."""
-    state.last_order_ms[command.instance] = command.noted_ms
-    # An instance that stood by has no home; it goes where it is needed.
+    """Record that an instance is ordered to move."""
+    state.last_order_ms[command.instance] = command.recorded_ms
+    # A standby instance that never had a worker has no home pool.
     state.home_pools.setdefault(command.instance, '')
--- a/src/sardinemast/jobs/_checks.py
+++ b/src/sardinemast/jobs/_checks.py
@@ -1,4 +1,4 @@
-"""Check of a whole catalog; every finding has a code and a place."""
+"""Validate a catalog."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -8,7 +8,7 @@
 
 
 class CatalogFinding(NamedTuple):
-    """Say what is wrong at which place of a catalog."""
+    """Describe an error at a path of a catalog."""
 
     code: str
     path: str
@@ -16,10 +16,10 @@
 
 
 def check_catalog(catalog: Catalog) -> tuple[CatalogFinding, ...]:
-    """Give all findings of a catalog."""
+    """Return all errors of a catalog."""
     return (
         *_check_queues(catalog),
-        *_check_places(catalog),
+        *_check_routes(catalog),
         *_check_keys(catalog),
     )
 
@@ -29,21 +29,21 @@
     for queue in catalog.queues:
         path = f'queues.{queue.name}'
         if queue.pool not in pools:
-            text = f'No pool {queue.pool!r}.'
+            text = f'Pool {queue.pool!r} does not exist.'
             yield CatalogFinding('jobs.E001', path, text)
         if queue.timeout_ms <= 0:
-            text = 'A timeout is above 0.'
+            text = 'The timeout must be greater than 0.'
             yield CatalogFinding('jobs.E002', path, text)
 
 
-def _check_places(catalog: Catalog) -> Iterator[CatalogFinding]:
+def _check_routes(catalog: Catalog) -> Iterator[CatalogFinding]:
     places = Counter((one.host, one.prefix) for one in catalog.queues)
     for (host, prefix), found in places.items():
         if found > 1:
             yield CatalogFinding(
                 'jobs.E003',
                 f'{host}{prefix}',
-                f'{found} queues are reached here.',
+                f'{found} queues have this host and prefix.',
             )
 
 
@@ -57,5 +57,5 @@
             yield CatalogFinding(
                 'jobs.E004',
                 f'teams.{min(teams)}',
-                f'A key is shared by {", ".join(sorted(teams))}.',
+                f'Teams {", ".join(sorted(teams))} share a key.',
             )
--- a/src/sardinemast/jobs/_critical_paths.py
+++ b/src/sardinemast/jobs/_critical_paths.py
@@ -1,10 +1,10 @@
-"""Longest chains of work in a job."""
+"""Critical paths through the steps of a job."""
 
 from sardinemast.jobs._records import Step
 
 
 def compute_critical_paths_ms(steps: tuple[Step, ...]) -> tuple[int, ...]:
-    """Give for each step the longest chain of work that begins with it."""
+    """Return the length of the critical path from each step on."""
     chains = [step.estimate_ms for step in steps]
     for number in reversed(range(len(steps))):
         for needed in steps[number].depends_on:
--- a/src/sardinemast/jobs/_free_capacity.py
+++ b/src/sardinemast/jobs/_free_capacity.py
@@ -1,4 +1,4 @@
-"""Workers of each pool in the order of their free processors."""
+"""Free capacity of workers, indexed by pool."""
 
 from bisect import bisect_left, insort
 from collections.abc import Iterator
@@ -8,79 +8,81 @@
 from sardinemast.placement import Size
 
 
-class FreePlace(NamedTuple):
-    """Hold what a worker has free, to be sorted by."""
+class FreeMillicores(NamedTuple):
+    """Order workers by free processor time, then by name."""
 
     millicores: int
     worker: str
 
 
 class FreeCapacity:
-    """Hold what each worker has free, and follow each change.
+    """Track the free capacity of each worker.
 
-    A pool's workers stay sorted, so that the fullest one with room for a
-    task is found without a look at all others.
+    The workers of a pool stay sorted by free processor time, so that the
+    fullest one that fits a task is found by binary search.
     """
 
     def __init__(self) -> None:
         self._free: dict[str, Size] = {}
         self._pools: dict[str, str] = {}
-        self._places: dict[str, list[FreePlace]] = {}
+        self._by_pool: dict[str, list[FreeMillicores]] = {}
 
     def put(self, worker: Worker, used: Size) -> None:
-        """Take in a worker, or what has changed of it."""
+        """Add or update a worker."""
         self.drop(worker.name)
         free = worker.capacity.plus(used, -1)
         self._free[worker.name] = free
         self._pools[worker.name] = worker.pool
-        places = self._places.setdefault(worker.pool, [])
-        insort(places, FreePlace(free.millicores, worker.name))
+        ordered = self._by_pool.setdefault(worker.pool, [])
+        insort(ordered, FreeMillicores(free.millicores, worker.name))
 
     def drop(self, worker: str) -> None:
-        """Forget a worker, if it is known."""
+        """Remove a worker, if it is known."""
         pool = self._pools.pop(worker, None)
         if pool is not None:
             free = self._free.pop(worker)
-            _remove(self._places[pool], FreePlace(free.millicores, worker))
+            _remove(
+                self._by_pool[pool], FreeMillicores(free.millicores, worker)
+            )
 
     def change(self, worker: str, size: Size, sign: int) -> None:
-        """Give room back with 1, or take it with -1."""
+        """Release (sign 1) or reserve (sign -1) capacity of a worker."""
         free = self._free.get(worker)
         if free is None:
             return
         changed = free.plus(size, sign)
         self._free[worker] = changed
         if changed.millicores != free.millicores:
-            places = self._places[self._pools[worker]]
-            _remove(places, FreePlace(free.millicores, worker))
-            insort(places, FreePlace(changed.millicores, worker))
+            ordered = self._by_pool[self._pools[worker]]
+            _remove(ordered, FreeMillicores(free.millicores, worker))
+            insort(ordered, FreeMillicores(changed.millicores, worker))
 
     def get(self, worker: str) -> Size:
-        """Give what a worker has free, nothing where it is not known."""
+        """Return a worker's free capacity, zero if it is unknown."""
         return self._free.get(worker, ZERO_SIZE)
 
     def iterate_fitting(self, pool: str, size: Size) -> Iterator[str]:
-        """Give the workers with room for a size, the fullest one first."""
-        places = self._places.get(pool, [])
-        first = bisect_left(places, FreePlace(size.millicores, ''))
-        for place in places[first:]:
-            if size.fits(self._free[place.worker]):
-                yield place.worker
+        """Yield the workers of a pool that fit a size, the fullest first."""
+        ordered = self._by_pool.get(pool, [])
+        first = bisect_left(ordered, FreeMillicores(size.millicores, ''))
+        for item in ordered[first:]:
+            if size.fits(self._free[item.worker]):
+                yield item.worker
 
     def list_workers(self, pool: str) -> list[str]:
-        """Give all workers of a pool."""
-        return [place.worker for place in self._places.get(pool, [])]
+        """Return all workers of a pool, the fullest first."""
+        return [item.worker for item in self._by_pool.get(pool, [])]
 
     def copy(self) -> 'FreeCapacity':
-        """Give a picture that may be changed while a plan is made."""
+        """Return an independent copy, for planning."""
         copied = FreeCapacity()
         copied._free = dict(self._free)
         copied._pools = dict(self._pools)
-        copied._places = {
-            pool: list(places) for pool, places in self._places.items()
+        copied._by_pool = {
+            pool: list(ordered) for pool, ordered in self._by_pool.items()
         }
         return copied
 
 
-def _remove(places: list[FreePlace], place: FreePlace) -> None:
-    places.pop(bisect_left(places, place))
+def _remove(ordered: list[FreeMillicores], item: FreeMillicores) -> None:
+    ordered.pop(bisect_left(ordered, item))
--- a/src/sardinemast/jobs/_images.py
+++ b/src/sardinemast/jobs/_images.py
@@ -1,4 +1,4 @@
-"""The state of jobs as one record, and back."""
+"""Snapshots of the state of jobs."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -17,20 +17,20 @@
 
 
 class StepImage(NamedTuple):
-    """Hold a step of an occurrence; tasks are named by their index."""
+    """Hold a step of an occurrence; its tasks are keyed by position."""
 
     occurrence: int
     number: int
     waiting: tuple[int, ...]
     running: Mapping[int, Run]
     done: tuple[int, ...]
-    numbers: Mapping[int, int]
+    run_numbers: Mapping[int, int]
     failures: Mapping[int, int]
     checkpoints: Mapping[int, str]
 
 
 class JobImage(NamedTuple):
-    """Hold a job with all of its steps that have begun."""
+    """Hold a job and the steps of each occurrence that has begun."""
 
     name: str
     queue: Queue
@@ -39,14 +39,14 @@
     log_index: int
     submitted_ms: int
     is_done: bool
-    has_begun: bool
+    has_started: bool
     is_cancelled: bool
     is_failed: bool
     steps: tuple[StepImage, ...]
 
 
 class JobsImage(NamedTuple):
-    """Hold the whole state; ended jobs in the order of their ends."""
+    """Hold the whole state; ended jobs are in the order of their ends."""
 
     catalog: Catalog = EMPTY_CATALOG
     source: bytes = b''
@@ -62,7 +62,7 @@
 
 
 def dump_state(state: JobsState) -> JobsImage:
-    """Give the whole state as one record."""
+    """Return a snapshot of the state."""
     return JobsImage(
         state.catalog,
         state.source,
@@ -76,7 +76,7 @@
 
 
 def load_state(image: JobsImage) -> JobsState:
-    """Make a state from its record."""
+    """Restore a state from a snapshot."""
     state = JobsState()
     state.put_catalog(image.catalog, image.source)
     for worker in image.workers:
@@ -98,8 +98,8 @@
 
 def _load_order_times(image: JobsImage) -> dict[str, int]:
     if image.last_order_ms is None:
-        # An older version took the snapshot; any instance may have had an
-        # order a moment before.
+        # Snapshots of older versions lack order times: any of the instances
+        # may have just been ordered.
         return dict.fromkeys(image.home_pools, 0)
     return dict(image.last_order_ms)
 
@@ -113,7 +113,7 @@
         job.log_index,
         job.submitted_ms,
         job.is_done,
-        job.has_begun,
+        job.has_started,
         job.is_cancelled,
         job.is_failed,
         tuple(map(_dump_step, job.iterate_steps())),
@@ -127,7 +127,7 @@
         tuple(step.waiting),
         dict(step.running),
         tuple(sorted(step.done)),
-        dict(step.numbers),
+        dict(step.run_numbers),
         dict(step.failures),
         dict(step.checkpoints),
     )
@@ -143,7 +143,7 @@
         image.submitted_ms,
     )
     job.is_done = image.is_done
-    job.has_begun = image.has_begun
+    job.has_started = image.has_started
     job.is_cancelled = image.is_cancelled
     job.is_failed = image.is_failed
     state.jobs[job.name] = job
@@ -151,14 +151,14 @@
         if step_image.occurrence not in job.steps:
             job.open_occurrence(step_image.occurrence)
         step = job.steps[step_image.occurrence][step_image.number]
-        _fill_step(state, step, step_image)
+        _restore_step(state, step, step_image)
     return job
 
 
-def _fill_step(state: JobsState, step: StepState, image: StepImage) -> None:
+def _restore_step(state: JobsState, step: StepState, image: StepImage) -> None:
     step.waiting = dict.fromkeys(image.waiting)
     step.done = set(image.done)
-    step.numbers = dict(image.numbers)
+    step.run_numbers = dict(image.run_numbers)
     step.failures = dict(image.failures)
     step.checkpoints = dict(image.checkpoints)
     for index, run in image.running.items():
--- a/src/sardinemast/jobs/_records.py
+++ b/src/sardinemast/jobs/_records.py
@@ -1,4 +1,4 @@
-"""Records of jobs, of the queues that take them and of what runs them."""
+"""Records of jobs, queues, workers, runs and maintenance waves."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -12,9 +12,9 @@
     """Describe a step of a job: a set of equal tasks.
 
     ``size`` is the demand of one task. ``max_per_worker`` limits the tasks of
-    the step on one worker; 0 is no limit. ``max_unavailable`` limits how many
-    tasks of a long-running step may be down when the dispatcher stops one. The
-    processor time of a best-effort step is not reserved on its worker.
+    the step on one worker; 0 is no limit. A task of a long-running step is
+    stopped only if then at most ``max_unavailable`` of its tasks are down; 0
+    is no limit. A best-effort step reserves no processor time on its worker.
     """
 
     task_count: int
@@ -36,21 +36,21 @@
 
     @property
     def reserved_size(self) -> Size:
-        """Give what a task takes of its worker's room."""
+        """Return the capacity that a task reserves on its worker."""
         if self.is_best_effort:
             return self.size._replace(millicores=0)
         return self.size
 
     def allows_labels(self, labels: tuple[str, ...]) -> bool:
-        """Tell whether a worker with these labels may run a task."""
+        """Check whether a worker with these labels may run a task."""
         return not self.required_label or self.required_label in labels
 
 
 class JobRequest(NamedTuple):
-    """Describe a whole job as its caller declares it.
+    """Describe a job as its caller declares it.
 
-    ``occurrences`` above 0 runs all steps that many times, the first due at
-    ``first_due_ms`` of Unix time and each next one ``interval_ms`` later.
+    A scheduled job has ``occurrences`` above 0: all steps run that many times,
+    first at the Unix time ``first_due_ms``, then every ``interval_ms``.
     """
 
     spec: str
@@ -73,10 +73,11 @@
 
 
 class Queue(NamedTuple):
-    """Declare a queue: who reaches it, and how its jobs are run.
+    """Declare a queue: the host and prefix that it serves, and its policy.
 
-    The target of a job is ``stretch`` times its longest chain of work, and
-    ``target_ms`` more. Priority 0 comes first.
+    A job is due ``stretch`` times its critical path plus ``target_ms`` after
+    its start time. It fails once one of its tasks failed ``max_attempts``
+    times. Priority 0 comes first.
     """
 
     name: str
@@ -95,7 +96,7 @@
 class Pool(NamedTuple):
     """Declare a pool of workers; those of a standby pool are switched off.
 
-    Workers that guard their room refuse a start that does not fit.
+    With ``rejects_overload``, workers refuse starts beyond their capacity.
     """
 
     name: str
@@ -104,9 +105,9 @@
 
 
 class Team(NamedTuple):
-    """Declare a team, its keys, its weight and what it may have running.
+    """Declare a team, its keys and the limit of what it may have running.
 
-    A part of ``cap`` that is 0 is no limit.
+    A field of ``cap`` that is 0 is no limit.
     """
 
     name: str
@@ -117,7 +118,7 @@
 
 
 class Catalog(NamedTuple):
-    """Hold all queues, pools and teams of one version."""
+    """Hold one version of all queues, pools and teams."""
 
     version: int
     queues: tuple[Queue, ...]
@@ -129,9 +130,9 @@
 
 
 class Worker(NamedTuple):
-    """Hold one worker; ``boot_ms`` is when it last started.
+    """Hold a worker; ``boot_ms`` is when it last started.
 
-    ``instance`` is the machine, which stays the same over its workers' lives.
+    ``instance`` is where it runs; an instance may have several in turn.
     """
 
     name: str
@@ -147,7 +148,7 @@
 
 
 class TaskKey(NamedTuple):
-    """Name one task of one step of one occurrence of a job."""
+    """Identify a task by its job, occurrence, step and position."""
 
     job: str
     occurrence: int
@@ -155,31 +156,31 @@
     position: int
 
     def __str__(self) -> str:
-        """Give the dotted name that workers and logs know."""
+        """Return the dotted name used by workers and in logs."""
         return f'{self.job}.{self.occurrence}.{self.step}.{self.position}'
 
 
 class StepKey(NamedTuple):
-    """Name one step of one occurrence of a job."""
+    """Identify a step of an occurrence of a job."""
 
     job: str
     occurrence: int
     step: int
 
     def __str__(self) -> str:
-        """Give the dotted name that the outside policy and logs know."""
+        """Return the dotted name used by the external policy and in logs."""
         return f'{self.job}.{self.occurrence}.{self.step}'
 
 
 class Run(NamedTuple):
-    """Hold one start of a task; ``number`` grows with each start."""
+    """Hold a run of a task; ``number`` grows with each start."""
 
     number: int
     worker: str
 
 
 class RunEnd(StrEnum):
-    """How a run ended; ``lost`` covers all that says nothing of the task."""
+    """How a run ended; ``lost`` neither completes nor fails the task."""
 
     done = 'done'
     failed = 'failed'
@@ -187,7 +188,7 @@
 
 
 class JobStatus(StrEnum):
-    """What a caller is told of a job."""
+    """Status of a job as shown to callers."""
 
     queued = 'queued'
     running = 'running'
@@ -197,7 +198,7 @@
 
 
 class MaintenanceStatus(StrEnum):
-    """How far the maintenance of one instance in a wave is."""
+    """Progress of the maintenance of an instance in a wave."""
 
     waiting = 'waiting'
     ordered = 'ordered'
@@ -206,7 +207,11 @@
 
 
 class WaveItem(NamedTuple):
-    """Hold one instance of a wave, and the boot that an order takes down."""
+    """Hold an instance of a wave.
+
+    ``boot_ms`` is the last start of its worker at the time of the order, 0
+    if it had no worker.
+    """
 
     instance: str
     status: MaintenanceStatus = MaintenanceStatus.waiting
@@ -214,7 +219,7 @@
 
 
 class Wave(NamedTuple):
-    """Hold instances that are due for maintenance.
+    """Hold the instances of a maintenance wave.
 
     At most ``cap`` of them may be down at once; ``due_ms`` is a Unix time.
     """
--- a/src/sardinemast/jobs/_state.py
+++ b/src/sardinemast/jobs/_state.py
@@ -25,10 +25,12 @@
 
 
 class StepState:
-    """Hold the tasks of one step: which wait, run and are done.
+    """Track which tasks of a step are waiting, running and done.
 
-    ``numbers`` holds each task's highest run so far, ``failures`` how often
-    it failed by its own fault, ``checkpoints`` what a run left behind.
+    Tasks are known by their position. ``run_numbers`` holds the latest run of
+    each task, ``checkpoints`` the latest checkpoint of an unfinished one.
+    ``failures`` counts the failed runs of each task; key -1 holds the number
+    of the latest failed run.
     """
 
     __slots__ = (
@@ -36,7 +38,7 @@
         'done',
         'failures',
         'key',
-        'numbers',
+        'run_numbers',
         'running',
         'spec',
         'waiting',
@@ -48,36 +50,39 @@
         self.waiting: dict[int, None] = dict.fromkeys(range(spec.task_count))
         self.running: dict[int, Run] = {}
         self.done: set[int] = set()
-        self.numbers: dict[int, int] = {}
+        self.run_numbers: dict[int, int] = {}
         self.failures: dict[int, int] = {}
         self.checkpoints: dict[int, str] = {}
 
     @property
     def is_done(self) -> bool:
-        """Tell whether every task has ended well."""
+        """Check whether all tasks have succeeded."""
         return len(self.done) == self.spec.task_count
 
     def get_task(self, index: int) -> TaskKey:
-        """Name one of the tasks."""
+        """Return the key of a task."""
         return TaskKey(*self.key, index)
 
-    def get_next_number(self, index: int) -> int:
-        """Give the number of the task's next run; a gang shares one."""
+    def get_next_run_number(self, index: int) -> int:
+        """Return the number of the next run; a gang has one for all."""
         if self.spec.is_gang:
-            return max(self.numbers.values(), default=0) + 1
-        return self.numbers.get(index, 0) + 1
+            return max(self.run_numbers.values(), default=0) + 1
+        return self.run_numbers.get(index, 0) + 1
 
-    def accepts(self, index: int, number: int) -> bool:
-        """Tell whether a run of this number may start now.
+    def can_start(self, index: int, number: int) -> bool:
+        """Check whether a run with this number may start now.
 
-        The members of a gang start one after the other under one number.
+        The members of a gang start one by one with the same number.
         """
         if index not in self.waiting:
             return False
         if self.spec.is_gang and self.running:
-            numbers = {run.number for run in self.running.values()}
-            return numbers == {number} and self.numbers.get(index, 0) < number
-        return number == self.get_next_number(index)
+            run_numbers = {run.number for run in self.running.values()}
+            return (
+                run_numbers == {number}
+                and self.run_numbers.get(index, 0) < number
+            )
+        return number == self.get_next_run_number(index)
 
 
 class JobState:
@@ -90,7 +95,7 @@
     __slots__ = (
         'critical_paths_ms',
         'is_done',
-        'has_begun',
+        'has_started',
         'is_cancelled',
         'is_failed',
         'log_index',
@@ -119,43 +124,43 @@
         self.submitted_ms = submitted_ms
         self.critical_paths_ms = compute_critical_paths_ms(request.steps)
         self.is_done = False
-        self.has_begun = False
+        self.has_started = False
         self.is_cancelled = False
         self.is_failed = False
         self.steps: dict[int, list[StepState]] = {}
 
     @property
     def is_over(self) -> bool:
-        """Tell whether nothing of the job may start any more."""
+        """Check whether the job is done, failed or cancelled."""
         return self.is_cancelled or self.is_failed or self.is_done
 
     @property
     def status(self) -> JobStatus:
-        """Give what a caller is told."""
+        """Return the status that callers see."""
         if self.is_cancelled:
             return JobStatus.cancelled
         if self.is_failed:
             return JobStatus.failed
         if self.is_done:
             return JobStatus.done
-        return JobStatus.running if self.has_begun else JobStatus.queued
+        return JobStatus.running if self.has_started else JobStatus.queued
 
     def open_occurrence(self, occurrence: int) -> list[StepState]:
-        """Make the steps of an occurrence."""
-        opened = [
+        """Create and return the steps of an occurrence."""
+        new_steps = [
             StepState(StepKey(self.name, occurrence, place), step)
             for place, step in enumerate(self.request.steps)
         ]
-        self.steps[occurrence] = opened
-        return opened
+        self.steps[occurrence] = new_steps
+        return new_steps
 
     def is_ready(self, step: StepState) -> bool:
-        """Tell whether all steps that this one needs are done."""
+        """Check whether all dependencies of a step are done."""
         steps = self.steps[step.key.occurrence]
         return all(steps[needed].is_done for needed in step.spec.depends_on)
 
     def iterate_steps(self) -> Iterator[StepState]:
-        """Go through the steps of all occurrences that have begun."""
+        """Yield the steps of all occurrences that have begun."""
         for steps in self.steps.values():
             yield from steps
 
@@ -176,7 +181,7 @@
         self.latency_sensitive_counts: Counter[str] = Counter()
 
     def charge(self, step: Step, worker: str, team: str, sign: int) -> None:
-        """Count a run with 1, and its end with -1."""
+        """Add (sign 1) or remove (sign -1) the usage of a run."""
         used = self.by_team.get(team, ZERO_SIZE)
         self.by_team[team] = used.plus(step.size, sign)
         taken = self.by_worker.get(worker, ZERO_SIZE)
@@ -188,11 +193,11 @@
             self.latency_sensitive_counts[worker] += sign
 
     def put_worker(self, worker: Worker) -> None:
-        """Take in a worker, or what has changed of it."""
+        """Add or update a worker."""
         self.free.put(worker, self.by_worker.get(worker.name, ZERO_SIZE))
 
-    def forget_worker(self, worker: str) -> None:
-        """Drop a worker whose runs have all ended."""
+    def drop_worker(self, worker: str) -> None:
+        """Remove a worker that has no runs."""
         self.free.drop(worker)
         self.by_worker.pop(worker, None)
         self.best_effort_counts.pop(worker, None)
@@ -232,7 +237,7 @@
         self.last_order_ms: dict[str, int] = {}
 
     def put_catalog(self, catalog: Catalog, source: bytes) -> None:
-        """Put a catalog in force; live jobs follow their queues."""
+        """Activate a catalog and update the queues of live jobs."""
         self.catalog = catalog
         self.source = source
         self.teams = {team.name: team for team in catalog.teams}
@@ -244,7 +249,7 @@
             job.queue = self.queues.get(job.queue.name, job.queue)
 
     def put_worker(self, worker: Worker) -> None:
-        """Take in a worker, or what has changed of it."""
+        """Add or update a worker."""
         known = self.workers.get(worker.name)
         if known is not None:
             self.worker_index.drop(known)
@@ -254,13 +259,13 @@
         self.usage.put_worker(worker)
 
     def drop_worker(self, name: str) -> None:
-        """Forget a worker whose runs have all ended."""
+        """Remove a worker that has no runs."""
         self.worker_index.drop(self.workers.pop(name))
         self.runs.pop(name, None)
-        self.usage.forget_worker(name)
+        self.usage.drop_worker(name)
 
     def find_step(self, task: TaskKey) -> StepState | None:
-        """Give the step of a task, where the job is known."""
+        """Return the step of a task, or None if it is unknown."""
         job = self.jobs.get(task.job)
         if job is None or task.occurrence not in job.steps:
             return None
@@ -268,27 +273,27 @@
         return steps[task.step] if task.step < len(steps) else None
 
     def get_job(self, step: StepState) -> JobState:
-        """Give the job of a step."""
+        """Return the job of a step."""
         return self.jobs[step.key.job]
 
     def get_queue(self, step: StepState) -> Queue:
-        """Give the queue of a step's job."""
+        """Return the queue of a step's job."""
         return self.jobs[step.key.job].queue
 
     def get_free(self, worker: Worker) -> Size:
-        """Give the room of a worker that no run takes."""
+        """Return the unreserved capacity of a worker."""
         return self.usage.free.get(worker.name)
 
     def add_run(self, step: StepState, index: int, run: Run) -> None:
-        """Take room for a run."""
+        """Add a run and reserve its capacity."""
         step.waiting.pop(index, None)
         step.running[index] = run
-        step.numbers[index] = run.number
+        step.run_numbers[index] = run.number
         self.runs.setdefault(run.worker, {})[step.get_task(index)] = run.number
         self._charge(step, run.worker, 1)
 
     def remove_run(self, step: StepState, index: int) -> None:
-        """Give the room of an ended run back."""
+        """Remove an ended run and release its capacity."""
         run = step.running.pop(index)
         self.runs[run.worker].pop(step.get_task(index), None)
         self._charge(step, run.worker, -1)
--- a/src/sardinemast/jobs/commands.py
+++ b/src/sardinemast/jobs/commands.py
@@ -1,4 +1,4 @@
-"""Commands that change jobs, queues and workers, in the order of the log."""
+"""Commands on jobs, queues and workers, applied in log order."""
 
 from typing import NamedTuple
 
@@ -13,9 +13,9 @@
 
 
 class PutCatalog(NamedTuple):
-    """Put a catalog in place of one with a lower version.
+    """Replace the catalog by one with a higher version.
 
-    ``source`` is the operator's own text, given back when it is read.
+    ``source`` is the text that the operator sent, returned when it is read.
     """
 
     catalog: Catalog
@@ -23,43 +23,43 @@
 
 
 class SubmitJob(NamedTuple):
-    """Take in a job, once for each name."""
+    """Accept a job, unless its name is in use."""
 
     name: str
     queue: str
     team: str
     request: JobRequest
-    noted_ms: int
+    submitted_ms: int
 
 
 class CancelJob(NamedTuple):
-    """Cancel a job for good."""
+    """Cancel a job."""
 
     name: str
 
 
 class OpenOccurrence(NamedTuple):
-    """Let an occurrence of a scheduled job begin."""
+    """Start an occurrence of a scheduled job."""
 
     job: str
     occurrence: int
 
 
 class RegisterWorker(NamedTuple):
-    """Take in a worker, or what has changed of it."""
+    """Add or update a worker."""
 
     worker: Worker
 
 
 class ForgetWorker(NamedTuple):
-    """Forget a worker that has ended; with it all its runs have ended."""
+    """Remove a worker that has ended; its runs are lost."""
 
     name: str
     boot_ms: int
 
 
 class RunStart(NamedTuple):
-    """Say where a task runs, before the worker is told."""
+    """Assign a run to a worker, recorded before the worker is ordered."""
 
     task: TaskKey
     number: int
@@ -67,7 +67,7 @@
 
 
 class FinishedRun(NamedTuple):
-    """Say how a run ended, and the checkpoint that it left."""
+    """Describe how a run ended and which checkpoint it left."""
 
     task: TaskKey
     number: int
@@ -76,14 +76,14 @@
 
 
 class RecordRuns(NamedTuple):
-    """Record ends and then starts, each only where it still fits."""
+    """Record ends, then starts; skip those that are stale."""
 
     ends: tuple[FinishedRun, ...]
     starts: tuple[RunStart, ...]
 
 
 class DeclareWave(NamedTuple):
-    """Take in a maintenance wave, once for each number."""
+    """Declare a maintenance wave, unless its number is in use."""
 
     number: int
     instances: tuple[str, ...]
@@ -93,27 +93,27 @@
 
 
 class NoteUpkeep(NamedTuple):
-    """Note how far the maintenance of an instance is.
+    """Set the maintenance status of an instance.
 
-    ``noted_ms`` is the leader's time of day, 0 in entries of old versions.
+    ``recorded_ms`` is the leader's Unix time, 0 in entries of old versions.
     """
 
     wave: int
     instance: str
     status: MaintenanceStatus
     boot_ms: int = 0
-    noted_ms: int = 0
+    recorded_ms: int = 0
 
 
 class NoteMove(NamedTuple):
-    """Note that an instance is to change its pool, before it is ordered.
+    """Record a move of an instance to a pool, before it is ordered.
 
-    ``noted_ms`` is the leader's time of day, 0 in entries of old versions.
+    ``recorded_ms`` is the leader's Unix time, 0 in entries of old versions.
     """
 
     instance: str
     pool: str
-    noted_ms: int = 0
+    recorded_ms: int = 0
 
 
 Command = (
--- a/tests/jobs/test_free_capacity_fuzz.py
+++ b/tests/jobs/test_free_capacity_fuzz.py
@@ -1,8 +1,7 @@
-"""Random histories: the kept picture of workers against one made anew.
+"""Random commands: compare incremental indexes with recomputed ones.
 
-A leader plans by what each worker has free, kept up to date with each command.
-Off by one run, a worker would be refused work that it has room for, or be
-given what it must refuse.
+A leader plans by the free capacity of workers, which is updated with each
+command. An error would overload workers or leave them idle.
 """
 
 from collections.abc import Callable
@@ -44,61 +43,61 @@
 
 _NUMBERS = st.integers(0, 3)
 _BOOTS = st.integers(1, 3)
-_Choose = Callable[[st.SearchStrategy[int]], int]
+_DrawInteger = Callable[[st.SearchStrategy[int]], int]
 _KINDS = ('register', 'forget', 'submit', 'cancel', 'start', 'end')
 
 
-def _draw_worker(choose: _Choose) -> Worker:
-    """Give one that may share instance or address with another one."""
-    worker = make_worker(choose(_NUMBERS), boot_ms=choose(_BOOTS))
+def _draw_worker(draw_integer: _DrawInteger) -> Worker:
+    """Return a worker that may share its instance or address."""
+    worker = make_worker(draw_integer(_NUMBERS), boot_ms=draw_integer(_BOOTS))
     return worker._replace(
-        instance=f'm-{choose(_NUMBERS)}',
-        address=f'10.0.0.{choose(_NUMBERS)}:80',
-        pool=(POOL, STANDBY)[choose(st.integers(0, 1))],
-        capacity=Size(choose(_NUMBERS) * 2000, 1 << 30),
+        instance=f'm-{draw_integer(_NUMBERS)}',
+        address=f'10.0.0.{draw_integer(_NUMBERS)}:80',
+        pool=(POOL, STANDBY)[draw_integer(st.integers(0, 1))],
+        capacity=Size(draw_integer(_NUMBERS) * 2000, 1 << 30),
     )
 
 
-def _draw_start(state: JobsState, choose: _Choose) -> Command:
+def _draw_start(state: JobsState, draw_integer: _DrawInteger) -> Command:
     waiting = [
         (step, index) for step in state.ready.values() for index in step.waiting
     ]
     if not waiting or not state.workers:
         return RecordRuns((), ())
-    step, index = waiting[choose(st.integers(0, len(waiting) - 1))]
+    step, index = waiting[draw_integer(st.integers(0, len(waiting) - 1))]
     workers = list(state.workers)
-    worker = workers[choose(st.integers(0, len(workers) - 1))]
-    task, number = step.get_task(index), step.get_next_number(index)
+    worker = workers[draw_integer(st.integers(0, len(workers) - 1))]
+    task, number = step.get_task(index), step.get_next_run_number(index)
     return RecordRuns((), (RunStart(task, number, worker),))
 
 
-def _draw_end(state: JobsState, choose: _Choose) -> Command:
+def _draw_end(state: JobsState, draw_integer: _DrawInteger) -> Command:
     running = [one for runs in state.runs.values() for one in runs.items()]
     if not running:
         return RecordRuns((), ())
-    task, number = running[choose(st.integers(0, len(running) - 1))]
-    end = tuple(RunEnd)[choose(st.integers(0, 2))]
+    task, number = running[draw_integer(st.integers(0, len(running) - 1))]
+    end = tuple(RunEnd)[draw_integer(st.integers(0, 2))]
     return RecordRuns((FinishedRun(task, number, end),), ())
 
 
-def _draw(kind: str, state: JobsState, choose: _Choose) -> Command:
+def _draw(kind: str, state: JobsState, draw_integer: _DrawInteger) -> Command:
     if kind == 'register':
-        return RegisterWorker(_draw_worker(choose))
+        return RegisterWorker(_draw_worker(draw_integer))
     if kind == 'forget':
-        return ForgetWorker(f'w-{choose(_NUMBERS)}', choose(_BOOTS))
+        return ForgetWorker(f'w-{draw_integer(_NUMBERS)}', draw_integer(_BOOTS))
     if kind == 'submit':
         request = JobRequest(
             '', (make_step(2), make_step(1, is_best_effort=True))
         )
-        return SubmitJob(f'job-{choose(_NUMBERS)}', QUEUE, '', request, 1)
+        return SubmitJob(f'job-{draw_integer(_NUMBERS)}', QUEUE, '', request, 1)
     if kind == 'cancel':
-        return CancelJob(f'job-{choose(_NUMBERS)}')
+        return CancelJob(f'job-{draw_integer(_NUMBERS)}')
     if kind == 'start':
-        return _draw_start(state, choose)
-    return _draw_end(state, choose)
+        return _draw_start(state, draw_integer)
+    return _draw_end(state, draw_integer)
 
 
-def _check(state: JobsState) -> None:
+def _check_indexes(state: JobsState) -> None:
     free = {
         name: worker.capacity.plus(
             state.usage.by_worker.get(name, ZERO_SIZE), -1
@@ -133,12 +132,14 @@
 @pytest.mark.fuzz
 @settings(max_examples=150)
 @given(st.data())
-def test_kept_picture_is_that_made_anew(drawn: st.DataObject) -> None:
-    """Whatever comes in whatever order, also after a snapshot."""
+def test_incremental_indexes_equal_recomputed_ones(
+    drawn: st.DataObject,
+) -> None:
+    """Indexes must stay correct for any commands and after a snapshot."""
     state = JobsState()
     apply_command(PutCatalog(make_catalog(), b'{}'), state, 1)
     kinds = drawn.draw(st.lists(st.sampled_from(_KINDS), max_size=30))
     for index, kind in enumerate(kinds, start=2):
         apply_command(_draw(kind, state, drawn.draw), state, index)
-        _check(state)
-    _check(load_state(dump_state(state)))
+        _check_indexes(state)
+    _check_indexes(load_state(dump_state(state)))
--- a/tests/jobs/test_jobs_state.py
+++ b/tests/jobs/test_jobs_state.py
@@ -1,4 +1,4 @@
-"""Jobs from submit to end, and the same state from its image."""
+"""State of jobs from submission to end, and its snapshots."""
 
 from builders.workers import (
     QUEUE,
@@ -36,7 +36,7 @@
 
 
 class _Log:
-    """Apply commands one after the other."""
+    """Apply commands to a state in log order."""
 
     def __init__(self) -> None:
         self.state = JobsState()
@@ -65,12 +65,12 @@
         self.add(RecordRuns((FinishedRun(task, number, end),), ()))
 
     def get_status(self) -> JobStatus:
-        """Give the job's status."""
+        """Return the job's status."""
         return self.state.jobs['job'].status
 
 
 def test_steps_follow_each_other_until_the_job_is_done() -> None:
-    """The second step is ready only once the whole first one is done."""
+    """A step must not start before all steps that it depends on are done."""
     log = _Log()
     log.submit(make_step(2), make_step(1, depends_on=(0,)))
     assert log.get_status() is JobStatus.queued
@@ -86,11 +86,8 @@
     assert log.get_status() is JobStatus.done
 
 
-def test_job_is_taken_once() -> None:
-    """A caller sends the same job again after its answer was lost.
-
-    Taken twice, a school would pay twice.
-    """
+def test_resubmitted_job_is_accepted_once() -> None:
+    """A job that is sent again after a lost answer must not run twice."""
     log = _Log()
     log.submit(make_step())
     log.start(_TASK)
@@ -99,8 +96,8 @@
     assert log.state.runs['w-1']
 
 
-def test_task_that_fails_too_often_ends_its_job() -> None:
-    """The queue allows two attempts; only ends by failure count."""
+def test_job_fails_after_max_attempts() -> None:
+    """A lost run must not count as one of the two allowed attempts."""
     log = _Log()
     log.submit(make_step())
     log.start(_TASK, 1)
@@ -113,8 +110,8 @@
     assert log.get_status() is JobStatus.failed
 
 
-def test_lasting_task_starts_again_however_it_ends() -> None:
-    """A watch on a balloon goes on until it is cancelled."""
+def test_long_running_task_restarts_after_any_end() -> None:
+    """A long-running job must go on until it is cancelled."""
     log = _Log()
     log.submit(make_step(is_long_running=True))
     for number, end in enumerate((RunEnd.failed, RunEnd.done, RunEnd.failed)):
@@ -127,28 +124,27 @@
     assert not log.state.runs['w-1']
 
 
-def test_gang_ends_and_fails_as_one() -> None:
-    """One member's good end stands for all, one failed run counts once."""
+def test_gang_finishes_and_fails_as_a_whole() -> None:
+    """A failed run of a gang counts once; one success ends all members."""
     log = _Log()
     log.submit(make_step(3, is_gang=True))
     members = [_TASK._replace(position=position) for position in range(3)]
     starts = tuple(RunStart(member, 1, 'w-1') for member in members)
     log.add(RecordRuns((), starts))
-    overs = tuple(FinishedRun(member, 1, RunEnd.failed) for member in members)
-    log.add(RecordRuns(overs, ()))
+    finished = tuple(
+        FinishedRun(member, 1, RunEnd.failed) for member in members
+    )
+    log.add(RecordRuns(finished, ()))
     assert log.get_status() is JobStatus.running
-    again = tuple(RunStart(member, 2, 'w-2') for member in members)
-    log.add(RecordRuns((), again))
+    restarts = tuple(RunStart(member, 2, 'w-2') for member in members)
+    log.add(RecordRuns((), restarts))
     log.end(members[1], RunEnd.done, 2)
     assert log.get_status() is JobStatus.done
     assert not log.state.runs['w-2']
 
 
-def test_next_worker_of_an_instance_ends_the_one_before() -> None:
-    """An instance was maintained, and its next worker announces itself.
-
-    The tasks of the one before need not wait for the end of its lease.
-    """
+def test_new_worker_replaces_the_old_one_of_its_instance() -> None:
+    """Tasks of a replaced worker must not wait for the end of its lease."""
     log = _Log()
     log.submit(make_step())
     log.start(_TASK)
@@ -158,8 +154,8 @@
     assert 0 in log.state.jobs['job'].steps[0][0].waiting
 
 
-def test_late_word_of_an_earlier_boot_changes_nothing() -> None:
-    """A word was held up while its worker crashed and started again."""
+def test_delayed_command_of_an_earlier_boot_is_ignored() -> None:
+    """Delayed commands must not undo the state of a restarted worker."""
     log = _Log()
     log.add(RegisterWorker(make_worker(1, boot_ms=5)))
     log.add(RegisterWorker(make_worker(1, boot_ms=2, is_draining=True)))
@@ -168,8 +164,8 @@
     assert not log.state.workers['w-1'].is_draining
 
 
-def test_state_from_its_image_goes_on_the_same() -> None:
-    """A replica that comes from a snapshot must not differ from the others."""
+def test_restored_snapshot_equals_the_state() -> None:
+    """A replica restored from a snapshot must not diverge from the others."""
     log = _Log()
     log.submit(make_step(2), make_step(1, depends_on=(0,)))
     log.submit(make_step(), name='other')
