--- a/src/sardinemast/jobs/_records.py
+++ b/src/sardinemast/jobs/_records.py
@@ -96,11 +96,11 @@
 class Pool(NamedTuple):
     """Declare a pool of workers; those of a standby pool are switched off.
 
-    With ``rejects_overload``, workers refuse starts beyond their capacity.
+    With ``enforces_capacity``, workers refuse starts beyond their capacity.
     """
 
     name: str
-    rejects_overload: bool = True
+    enforces_capacity: bool = True
     is_standby: bool = False
 
 
