--- a/src/sardinemast/entry/_reports.py
+++ b/src/sardinemast/entry/_reports.py
@@ -35,7 +35,7 @@
 
     def hear(self, announcement: Announcement, now_s: float) -> None:
         """Take an upstream's announcement, unless it is late."""
-        if self._view.is_late(announcement):
+        if self._view.is_outdated(announcement):
             return
         self._heard[announcement.instance] = _Heard(announcement, now_s)
         handle = self._view.get_handle(announcement)
--- a/src/sardinemast/membership/__init__.py
+++ b/src/sardinemast/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is there: announcements, leases, suspicion and leaving."""
+"""Track upstreams by their announcements, leases and departures."""
 
 from sardinemast.membership._announcements import (
     Announcement,
--- a/src/sardinemast/membership/_announcements.py
+++ b/src/sardinemast/membership/_announcements.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself."""
+"""Define the announcements by which upstreams report themselves."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -8,10 +8,10 @@
 
 
 class UpstreamStatus(StrEnum):
-    """Where an upstream is between its start and its end.
+    """Define the states in the life cycle of an upstream.
 
-    ``suspected`` is the leader's word about one that went silent, the others
-    are the upstream's own.
+    An upstream announces its own state, except for ``suspected``, which the
+    leader sets for an upstream that it has not heard from.
     """
 
     joining = 'joining'
@@ -22,11 +22,11 @@
 
 
 class Announcement(NamedTuple):
-    """Say that an upstream is there.
+    """Report the address, location and status of an upstream.
 
-    ``incarnation`` grows with each start of the upstream and ``sequence``
-    with each change within one start, so that a late announcement is known
-    as such. A repeated announcement is the same in every field.
+    ``incarnation`` grows with each start of the upstream and ``sequence`` with
+    each change after a start, so that outdated announcements can be detected.
+    An announcement that is repeated as a heartbeat is equal in every field.
     """
 
     instance: str
@@ -41,17 +41,17 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Give what orders the announcements of one instance."""
+        """Return the key that orders the announcements of one instance."""
         return (self.incarnation, self.sequence)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Give where the upstream listens."""
+        """Return host and port of the upstream."""
         return (self.host, self.port)
 
 
 def is_valid_announcement(announcement: Announcement) -> bool:
-    """Tell whether an upstream may say this."""
+    """Check the lengths, the port and the status of an announcement."""
     names = (
         announcement.instance,
         announcement.pool,
--- a/src/sardinemast/membership/_handles.py
+++ b/src/sardinemast/membership/_handles.py
@@ -1,39 +1,39 @@
-"""Lists of handles, as bytes: the steps between them, seven bits a byte."""
+"""Encode sets of handles as differences in LEB128 variable-length code."""
 
 from collections.abc import Iterable
 
-_STEP_BITS = 7
-_STEP_MASK = 0x7F
-_MORE = 0x80
+_PAYLOAD_BITS = 7
+_PAYLOAD_MASK = 0x7F
+_CONTINUATION_BIT = 0x80
 
 
 def encode_handles(handles: Iterable[int]) -> bytes:
-    """Give the handles as bytes, sorted and each once."""
+    """Encode the distinct handles in ascending order."""
     encoded = bytearray()
     previous = 0
     for handle in sorted(set(handles)):
-        step = handle - previous
+        delta = handle - previous
         previous = handle
-        while step > _STEP_MASK:
-            encoded.append(_MORE | step & _STEP_MASK)
-            step >>= _STEP_BITS
-        encoded.append(step)
+        while delta > _PAYLOAD_MASK:
+            encoded.append(_CONTINUATION_BIT | delta & _PAYLOAD_MASK)
+            delta >>= _PAYLOAD_BITS
+        encoded.append(delta)
     return bytes(encoded)
 
 
 def decode_handles(encoded: bytes) -> list[int]:
-    """Read the handles; a list that is cut off gives what is whole."""
+    """Decode handles, ignoring an incomplete one at the end."""
     handles = []
     handle = 0
-    step = 0
+    delta = 0
     shift = 0
-    for part in encoded:
-        step |= (part & _STEP_MASK) << shift
-        shift += _STEP_BITS
-        if part & _MORE:
+    for byte in encoded:
+        delta |= (byte & _PAYLOAD_MASK) << shift
+        shift += _PAYLOAD_BITS
+        if byte & _CONTINUATION_BIT:
             continue
-        handle += step
+        handle += delta
         handles.append(handle)
-        step = 0
+        delta = 0
         shift = 0
     return handles
--- a/src/sardinemast/membership/_latest_versions.py
+++ b/src/sardinemast/membership/_latest_versions.py
@@ -1,53 +1,52 @@
-"""Newest announcement of each instance, also of those that are gone."""
+"""Remember the newest version of each instance, also after it stopped."""
 
 from typing import NamedTuple
 
 from sardinemast.membership._announcements import Announcement, UpstreamStatus
 
-MARK_S = 7200.0
-MAX_MARKS = 20_000
+RETENTION_S = 7200.0
+MAX_INSTANCES = 20_000
 
 
-class _Mark(NamedTuple):
+class _HighWaterMark(NamedTuple):
     version: tuple[int, int]
     is_stopped: bool
-    noted_s: float
+    recorded_s: float
 
 
 class LatestVersions:
-    """Tell late announcements apart.
+    """Detect outdated announcements by a high-water mark per instance.
 
-    An entry that was frozen wakes with announcements of an hour ago. Without
-    a mark, an upstream that has drained and stopped would seem to serve
-    again, and callers' requests would be sent to nobody.
+    An entry that was frozen may pass on announcements that are an hour old. An
+    upstream that has stopped since would otherwise be listed as serving again.
     """
 
     def __init__(self) -> None:
-        self._latest_versions: dict[str, _Mark] = {}
+        self._marks: dict[str, _HighWaterMark] = {}
 
-    def is_late(self, announcement: Announcement) -> bool:
-        """Tell whether something newer is known, or the end."""
-        mark = self._latest_versions.get(announcement.instance)
+    def is_outdated(self, announcement: Announcement) -> bool:
+        """Check whether a newer version, or the stop, is known."""
+        mark = self._marks.get(announcement.instance)
         if mark is None:
             return False
         if mark.version == announcement.version:
             return mark.is_stopped
         return announcement.version < mark.version
 
-    def note(self, announcement: Announcement, now_s: float) -> None:
-        """Note an announcement that is not late."""
-        self._latest_versions.pop(announcement.instance, None)
-        self._latest_versions[announcement.instance] = _Mark(
+    def record(self, announcement: Announcement, now_s: float) -> None:
+        """Record an announcement that is not outdated."""
+        self._marks.pop(announcement.instance, None)
+        self._marks[announcement.instance] = _HighWaterMark(
             announcement.version,
             announcement.status is UpstreamStatus.stopped,
             now_s,
         )
-        self._forget(now_s)
+        self._discard_expired(now_s)
 
-    def _forget(self, now_s: float) -> None:
-        while self._latest_versions:
-            name, oldest = next(iter(self._latest_versions.items()))
-            is_old = oldest.noted_s <= now_s - MARK_S
-            if not is_old and len(self._latest_versions) <= MAX_MARKS:
+    def _discard_expired(self, now_s: float) -> None:
+        while self._marks:
+            name, oldest = next(iter(self._marks.items()))
+            is_old = oldest.recorded_s <= now_s - RETENTION_S
+            if not is_old and len(self._marks) <= MAX_INSTANCES:
                 break
-            self._latest_versions.pop(name)
+            self._marks.pop(name)
--- a/src/sardinemast/membership/_roster.py
+++ b/src/sardinemast/membership/_roster.py
@@ -1,4 +1,4 @@
-"""Leader's list of upstreams, made from their announcements."""
+"""Maintain the leader's list of upstreams from their announcements."""
 
 from collections import Counter
 from itertools import count
@@ -9,12 +9,15 @@
 from sardinemast.membership._latest_versions import LatestVersions
 
 LEASE_S = 3.0
-SUSPECT_S = 1.5
+SUSPECT_AFTER_S = 1.5
 MAX_UPSTREAMS = 5000
 
 
-class Upstream(NamedTuple):
-    """Hold the newest announcement of an upstream and when it was heard."""
+class TrackedUpstream(NamedTuple):
+    """Hold the newest announcement of an upstream.
+
+    ``held_until_s`` is the time until which a flapping upstream is held back.
+    """
 
     handle: int
     announcement: Announcement
@@ -22,37 +25,40 @@
 
 
 class RosterUpstream(NamedTuple):
-    """Hold what entries are told of an upstream."""
+    """Describe an upstream as published to entries.
+
+    The handle stands for exactly this announcement in later messages.
+    """
 
     handle: int
     announcement: Announcement
 
 
 class RosterChanges(NamedTuple):
-    """Hold what changed since the last time, and the handles that ended."""
+    """Hold the upstreams changed and the handles removed since last time."""
 
     changed: tuple[RosterUpstream, ...]
     removed_handles: tuple[int, ...]
 
 
 class Roster:
-    """Hold the upstreams that announced themselves to any entry."""
+    """Hold the upstreams that have announced themselves to any entry."""
 
     def __init__(self, lease_s: float = LEASE_S) -> None:
         self._lease_s = lease_s
         self._handles = count(1)
-        self._upstreams: dict[str, Upstream] = {}
-        # Thousands a second change, so they are not part of the records.
-        self._heard_s: dict[int, float] = {}
-        self._at_address: dict[tuple[str, int], str] = {}
-        self._told: dict[str, RosterUpstream] = {}
+        self._upstreams: dict[str, TrackedUpstream] = {}
+        # By handle, apart from the records, because thousands change a second.
+        self._last_heard_s: dict[int, float] = {}
+        self._instance_by_address: dict[tuple[str, int], str] = {}
+        self._published: dict[str, RosterUpstream] = {}
         self._latest_versions = LatestVersions()
-        self._flaps = FlapCounter()
-        self._started_s: float = 0
+        self._flap_counter = FlapCounter()
+        self._term_started_s: float = 0
 
     @property
     def upstreams(self) -> tuple[Announcement, ...]:
-        """Give the newest announcement of each upstream that is there."""
+        """Return the newest announcement of each upstream not stopped."""
         return tuple(
             one.announcement
             for one in self._upstreams.values()
@@ -60,162 +66,171 @@
         )
 
     def start_term(self, now_s: float) -> None:
-        """Begin anew; until all were heard, nobody is missed."""
-        self._started_s = now_s
+        """Clear the roster for a new term of this leader."""
+        self._term_started_s = now_s
         self._upstreams.clear()
-        self._heard_s.clear()
-        self._at_address.clear()
-        self._told.clear()
+        self._last_heard_s.clear()
+        self._instance_by_address.clear()
+        self._published.clear()
 
     def is_complete(self, now_s: float) -> bool:
-        """Tell whether whoever is there must have been heard by now."""
-        return now_s >= self._started_s + self._lease_s
+        """Check whether all live upstreams must have been reported by now."""
+        return now_s >= self._term_started_s + self._lease_s
 
     def accept_announcement(
         self,
-        fresh: Announcement,
+        announcement: Announcement,
         now_s: float,
         age_s: float = 0,
     ) -> bool:
-        """Take an announcement that an entry heard ``age_s`` ago.
+        """Record an announcement that an entry received ``age_s`` ago.
 
-        Gives whether it was taken; a late one and one too many are not.
+        Returns false if it is outdated or the roster is full.
         """
-        known = self._upstreams.get(fresh.instance)
-        if self._latest_versions.is_late(fresh) or age_s >= self._lease_s:
+        previous = self._upstreams.get(announcement.instance)
+        if (
+            self._latest_versions.is_outdated(announcement)
+            or age_s >= self._lease_s
+        ):
             return False
-        if known is None and len(self._upstreams) >= MAX_UPSTREAMS:
+        if previous is None and len(self._upstreams) >= MAX_UPSTREAMS:
             return False
-        self._latest_versions.note(fresh, now_s)
-        # One that has stopped stays listed as such for a lease. An entry that
-        # knows it from a former leader would else keep it as serving.
-        self._put(fresh, known, now_s - age_s, now_s)
+        self._latest_versions.record(announcement, now_s)
+        # A stopped upstream stays listed until its lease ends, or an entry
+        # that knows it from an earlier leader would keep it as serving.
+        self._put(announcement, previous, now_s - age_s, now_s)
         return True
 
     def renew(self, handle: int, now_s: float) -> None:
-        """Take an unchanged announcement by its handle."""
-        if self._heard_s.get(handle) is not None:
-            self._heard_s[handle] = now_s
+        """Renew the lease of an upstream that repeated its announcement."""
+        if self._last_heard_s.get(handle) is not None:
+            self._last_heard_s[handle] = now_s
 
     def expire(self, now_s: float) -> None:
-        """Drop the upstreams whose lease has ended."""
+        """Remove upstreams whose lease has expired."""
         if not self.is_complete(now_s):
             return
-        ended_s = now_s - self._lease_s
+        expired_before_s = now_s - self._lease_s
         for upstream in tuple(self._upstreams.values()):
-            if self._heard_s[upstream.handle] <= ended_s:
+            if self._last_heard_s[upstream.handle] <= expired_before_s:
                 self._remove(upstream.announcement.instance)
-        self._flaps.forget_old(now_s)
+        self._flap_counter.discard_expired(now_s)
 
     def get_published(self) -> tuple[RosterUpstream, ...]:
-        """Give all that entries have been told."""
-        return tuple(self._told.values())
+        """Return all upstreams as last published to entries."""
+        return tuple(self._published.values())
 
     def publish_changes(self, now_s: float) -> RosterChanges:
-        """Give what entries are to be told now."""
-        current = self._describe(now_s)
+        """Return the changes since the last call, to be sent to entries."""
+        current = self._build_roster(now_s)
         removed_handles = tuple(
-            told.handle
-            for name, told in self._told.items()
-            if name not in current or current[name].handle != told.handle
+            published.handle
+            for name, published in self._published.items()
+            if name not in current or current[name].handle != published.handle
         )
         changed = tuple(
             upstream
             for name, upstream in current.items()
-            if self._told.get(name) is not upstream
-            and self._told.get(name) != upstream
+            if self._published.get(name) is not upstream
+            and self._published.get(name) != upstream
         )
-        self._told = current
+        self._published = current
         return RosterChanges(changed, removed_handles)
 
     def _put(
         self,
-        fresh: Announcement,
-        known: Upstream | None,
+        announcement: Announcement,
+        previous: TrackedUpstream | None,
         heard_s: float,
         now_s: float,
     ) -> None:
-        if known is not None and known.announcement == fresh:
-            known_s = self._heard_s[known.handle]
-            self._heard_s[known.handle] = max(heard_s, known_s)
+        if previous is not None and previous.announcement == announcement:
+            previous_heard_s = self._last_heard_s[previous.handle]
+            self._last_heard_s[previous.handle] = max(heard_s, previous_heard_s)
             return
-        held_until_s = known.held_until_s if known else now_s
-        is_start = known is None or (
-            known.announcement.incarnation != fresh.incarnation
+        held_until_s = previous.held_until_s if previous else now_s
+        is_start = previous is None or (
+            previous.announcement.incarnation != announcement.incarnation
         )
         if is_start and self.is_complete(now_s):
-            held_until_s = self._flaps.note_start(fresh.instance, now_s)
-        self._remove(fresh.instance)
-        self._free_address(fresh)
-        upstream = Upstream(next(self._handles), fresh, held_until_s)
-        self._heard_s[upstream.handle] = heard_s
-        self._upstreams[fresh.instance] = upstream
-        self._at_address[fresh.address] = fresh.instance
-
-    def _free_address(self, fresh: Announcement) -> None:
-        # Whoever listens at the address now is the one that announced last.
-        # Under the former name it would be counted, and sent work, twice.
-        other = self._at_address.get(fresh.address)
-        if other is not None:
-            self._remove(other)
+            held_until_s = self._flap_counter.record_start(
+                announcement.instance, now_s
+            )
+        self._remove(announcement.instance)
+        self._release_address(announcement)
+        upstream = TrackedUpstream(
+            next(self._handles), announcement, held_until_s
+        )
+        self._last_heard_s[upstream.handle] = heard_s
+        self._upstreams[announcement.instance] = upstream
+        self._instance_by_address[announcement.address] = announcement.instance
+
+    def _release_address(self, announcement: Announcement) -> None:
+        # The newest announcement of an address wins. Kept under its former
+        # name too, the upstream would be counted and sent requests twice.
+        former_owner = self._instance_by_address.get(announcement.address)
+        if former_owner is not None:
+            self._remove(former_owner)
 
     def _remove(self, instance: str) -> None:
-        known = self._upstreams.pop(instance, None)
-        if known is not None:
-            self._heard_s.pop(known.handle)
-            self._at_address.pop(known.announcement.address, None)
+        previous = self._upstreams.pop(instance, None)
+        if previous is not None:
+            self._last_heard_s.pop(previous.handle)
+            self._instance_by_address.pop(previous.announcement.address, None)
 
-    def _describe(self, now_s: float) -> dict[str, RosterUpstream]:
+    def _build_roster(self, now_s: float) -> dict[str, RosterUpstream]:
         silent = self._find_silent(now_s)
         return {
-            name: self._keep(
+            name: self._reuse_published(
                 name,
                 upstream.handle,
-                _describe(upstream, is_silent=name in silent, now_s=now_s),
+                _get_effective_announcement(
+                    upstream, is_silent=name in silent, now_s=now_s
+                ),
             )
             for name, upstream in self._upstreams.items()
         }
 
-    def _keep(
+    def _reuse_published(
         self,
         name: str,
         handle: int,
         announcement: Announcement,
     ) -> RosterUpstream:
-        # Nearly all upstreams are as they were told. Giving the same record
-        # spares making it and comparing it field by field.
-        told = self._told.get(name)
+        # Most upstreams are unchanged. Reusing the record avoids building one
+        # and comparing it field by field.
+        published = self._published.get(name)
         if (
-            told is not None
-            and told.handle == handle
-            and told.announcement is announcement
+            published is not None
+            and published.handle == handle
+            and published.announcement is announcement
         ):
-            return told
+            return published
         return RosterUpstream(handle, announcement)
 
     def _find_silent(self, now_s: float) -> set[str]:
-        # When most of a pool seems silent, it is likelier that the way to the
-        # leader is broken than that they all died at once. To suspect them
-        # all would stop a pool that works.
+        # If most of a pool is silent, the path to the leader has probably
+        # failed, rather than all upstreams at once. Suspecting all of them
+        # would stop a working pool.
         if not self.is_complete(now_s):
             return set()
-        of_pool = Counter(one.pool for one in self.upstreams)
+        total_by_pool = Counter(one.pool for one in self.upstreams)
         silent = [
             one.announcement
             for one in self._upstreams.values()
-            if self._heard_s[one.handle] <= now_s - SUSPECT_S
+            if self._last_heard_s[one.handle] <= now_s - SUSPECT_AFTER_S
             and one.announcement.status is not UpstreamStatus.stopped
         ]
-        silent_of_pool = Counter(one.pool for one in silent)
+        silent_by_pool = Counter(one.pool for one in silent)
         return {
             one.instance
             for one in silent
-            if 2 * silent_of_pool[one.pool] <= of_pool[one.pool]
+            if 2 * silent_by_pool[one.pool] <= total_by_pool[one.pool]
         }
 
 
-def _describe(
-    upstream: Upstream,
+def _get_effective_announcement(
+    upstream: TrackedUpstream,
     *,
     is_silent: bool,
     now_s: float,
--- a/src/sardinemast/membership/_view.py
+++ b/src/sardinemast/membership/_view.py
@@ -1,4 +1,4 @@
-"""Entry's list of upstreams, as the leader and they themselves tell it."""
+"""Maintain an entry's list of upstreams."""
 
 from collections.abc import Iterable
 
@@ -6,46 +6,52 @@
 from sardinemast.membership._latest_versions import LatestVersions
 from sardinemast.membership._roster import RosterUpstream
 
-_Place = tuple[str, tuple[int, int]]
+_VersionKey = tuple[str, tuple[int, int]]
 _LEAVING = frozenset((UpstreamStatus.draining, UpstreamStatus.stopped))
 
 
 class RosterView:
-    """Hold upstreams; an older word about one never replaces a newer."""
+    """Hold the upstreams that the leader published or that depart here.
+
+    An older version of an upstream never replaces a newer one.
+    """
 
     def __init__(self) -> None:
         self._upstreams: dict[str, Announcement] = {}
-        self._versions: dict[int, Announcement] = {}
-        self._handles: dict[_Place, int] = {}
+        self._announcement_by_handle: dict[int, Announcement] = {}
+        self._handles: dict[_VersionKey, int] = {}
         self._latest_versions = LatestVersions()
 
     @property
     def announcements(self) -> tuple[Announcement, ...]:
-        """Give the upstreams that are there."""
+        """Return the newest announcement of each listed upstream."""
         return tuple(self._upstreams.values())
 
-    def is_late(self, announcement: Announcement) -> bool:
-        """Tell whether something newer is known."""
-        return self._latest_versions.is_late(announcement)
+    def is_outdated(self, announcement: Announcement) -> bool:
+        """Check whether a newer version of the instance is known."""
+        return self._latest_versions.is_outdated(announcement)
 
     def get_handle(self, announcement: Announcement) -> int | None:
-        """Give the leader's handle of exactly this announcement."""
-        place = (announcement.instance, announcement.version)
-        return self._handles.get(place)
+        """Return the leader's handle for this version, if published."""
+        key = (announcement.instance, announcement.version)
+        return self._handles.get(key)
 
     def accept_departure(
         self, announcement: Announcement, now_s: float
     ) -> bool:
-        """Take an upstream's own word that it leaves, before the leader's."""
+        """Apply an announced departure before the leader publishes it.
+
+        Returns whether the announcement is one of a departure.
+        """
         if announcement.status not in _LEAVING:
             return False
         self._put(announcement, now_s)
         return True
 
     def clear_handles(self) -> None:
-        """Note that the leader is gone, and its handles with it."""
+        """Discard all handles, which only the leader that made them knows."""
         self._handles.clear()
-        self._versions.clear()
+        self._announcement_by_handle.clear()
 
     def replace(
         self,
@@ -54,20 +60,20 @@
         *,
         is_complete: bool,
     ) -> None:
-        """Take the leader's whole list.
+        """Replace the list by the leader's full roster.
 
-        The list of a new leader lacks whoever it has not heard yet; what is
-        known here stays until the list is complete.
+        A new leader's roster lacks upstreams that it has not heard from yet, so
+        that upstreams known here are kept until the roster is complete.
         """
-        former = dict(self._upstreams)
+        previous = dict(self._upstreams)
         self.clear_handles()
         self._upstreams.clear()
         self.apply_changes(upstreams, (), now_s)
-        for name, announcement in former.items():
+        for name, announcement in previous.items():
             listed = self._upstreams.get(name)
             is_newer = listed and announcement.version > listed.version
-            is_missed = listed is None and not is_complete
-            if (is_newer or is_missed) and not self.is_late(announcement):
+            is_missing = listed is None and not is_complete
+            if (is_newer or is_missing) and not self.is_outdated(announcement):
                 self._upstreams[name] = announcement
 
     def apply_changes(
@@ -76,30 +82,30 @@
         removed_handles: Iterable[int],
         now_s: float,
     ) -> None:
-        """Take what the leader says has changed."""
+        """Apply changes that the leader published."""
         for handle in removed_handles:
             self._remove(handle)
         for upstream in upstreams:
             announcement = upstream.announcement
-            place = (announcement.instance, announcement.version)
-            self._handles[place] = upstream.handle
-            self._versions[upstream.handle] = announcement
+            key = (announcement.instance, announcement.version)
+            self._handles[key] = upstream.handle
+            self._announcement_by_handle[upstream.handle] = announcement
             self._put(announcement, now_s)
 
     def _put(self, announcement: Announcement, now_s: float) -> None:
-        if self._latest_versions.is_late(announcement):
+        if self._latest_versions.is_outdated(announcement):
             return
-        self._latest_versions.note(announcement, now_s)
+        self._latest_versions.record(announcement, now_s)
         if announcement.status is UpstreamStatus.stopped:
             self._upstreams.pop(announcement.instance, None)
         else:
             self._upstreams[announcement.instance] = announcement
 
     def _remove(self, handle: int) -> None:
-        announcement = self._versions.pop(handle, None)
+        announcement = self._announcement_by_handle.pop(handle, None)
         if announcement is None:
             return
         self._handles.pop((announcement.instance, announcement.version), None)
-        known = self._upstreams.get(announcement.instance)
-        if known is not None and known.version <= announcement.version:
+        current = self._upstreams.get(announcement.instance)
+        if current is not None and current.version <= announcement.version:
             self._upstreams.pop(announcement.instance)
--- a/tests/membership/test_membership_fuzz.py
+++ b/tests/membership/test_membership_fuzz.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of what entries know of upstreams."""
+"""Fuzz the lists of upstreams that entries hold."""
 
 import pytest
 from hypothesis import settings
@@ -20,165 +20,184 @@
 
 _ENTRIES = ('entry-1', 'entry-2', 'entry-3')
 _UPSTREAMS = ('a', 'b', 'c')
-_KINDS = ('frozen', 'slow', 'cut', 'well')
-_WHICH = st.integers(min_value=0, max_value=20)
+_FAULTS = ('frozen', 'slow', 'cut', 'none')
+_INDEXES = st.integers(min_value=0, max_value=20)
 _HEARTBEAT_S = 0.5
 _LONG_TICK_S = 0.25
-_DRAIN_S = 2.0
-_SETTLED_S = 4.5
+_DRAIN_DEADLINE_S = 2.0
+_CONVERGENCE_S = 4.5
 
 
 class Membership(RuleBasedStateMachine):
-    """Compare each entry's list with what upstreams have said."""
+    """Compare the list of each entry with what upstreams announced."""
 
     def __init__(self) -> None:
         super().__init__()
         self.cluster = Cluster()
-        self.said: dict[str, Announcement] = {}
-        self.said_s: dict[str, float] = {}
-        self.former: list[Announcement] = []
-        self.shown: dict[tuple[str, str], tuple[int, int]] = {}
-        self.well_s: dict[str, float] = {}
-        self.unheard_s: float = 0
-        self.led_s: float = 0
-        self.turn = 0
+        self.announced: dict[str, Announcement] = {}
+        self.announced_s: dict[str, float] = {}
+        self.earlier: list[Announcement] = []
+        self.last_listed: dict[tuple[str, str], tuple[int, int]] = {}
+        self.healthy_since_s: dict[str, float] = {}
+        self.last_unreceived_s: float = 0
+        self.leader_since_s: float = 0
+        self.rotation = 0
 
     @initialize()
     def start(self) -> None:
         """Start entries and upstreams."""
         for name in _ENTRIES:
             self.cluster.add(Process(name, 1))
-            self.well_s[name] = 0
+            self.healthy_since_s[name] = 0
         self.cluster.advance(2)
         self.cluster.ask(1, ApplyDocument('c1', 0, make_document()))
         for port, name in enumerate(_UPSTREAMS, start=1):
-            self.say(make_announcement(name, port))
+            self.announce_change(make_announcement(name, port))
         self.wait(0.5)
 
-    def say(self, announcement: Announcement) -> None:
-        """Let an upstream announce something new."""
-        self.said[announcement.instance] = announcement
-        self.said_s[announcement.instance] = self.cluster.now_s
-        self.former.append(announcement)
+    def announce_change(self, announcement: Announcement) -> None:
+        """Announce a new version of an upstream."""
+        self.announced[announcement.instance] = announcement
+        self.announced_s[announcement.instance] = self.cluster.now_s
+        self.earlier.append(announcement)
         self.announce(announcement)
 
     def announce(self, announcement: Announcement) -> None:
-        """Announce to the next entry that answers."""
-        well = [one for one in self.cluster.processes if self.is_well(one)]
-        if well:
-            self.turn += 1
+        """Send an announcement to the next healthy entry."""
+        healthy = [
+            one for one in self.cluster.processes if self.is_healthy(one)
+        ]
+        if healthy:
+            self.rotation += 1
             event = UpstreamAnnounced(announcement)
-            well[self.turn % len(well)].step(event, self.cluster.now_s)
+            healthy[self.rotation % len(healthy)].step(
+                event, self.cluster.now_s
+            )
         else:
-            self.unheard_s = self.cluster.now_s
+            self.last_unreceived_s = self.cluster.now_s
 
-    def is_well(self, process: Process) -> bool:
-        """Tell whether nothing holds the process up."""
+    def is_healthy(self, process: Process) -> bool:
+        """Check whether a process has no fault."""
         return not (process.is_frozen or process.is_slow or process.is_cut)
 
-    @rule(which=_WHICH, status=st.sampled_from(UpstreamStatus))
-    def change(self, which: int, status: UpstreamStatus) -> None:
-        """Let an upstream say that it joins, serves, drains or stops."""
-        name = _UPSTREAMS[which % len(_UPSTREAMS)]
-        known = self.said[name]
-        if known.status in {UpstreamStatus.stopped, status}:
+    @rule(index=_INDEXES, status=st.sampled_from(UpstreamStatus))
+    def change(self, index: int, status: UpstreamStatus) -> None:
+        """Announce a new status of an upstream."""
+        name = _UPSTREAMS[index % len(_UPSTREAMS)]
+        current = self.announced[name]
+        if current.status in {UpstreamStatus.stopped, status}:
             return
         if status is not UpstreamStatus.suspected:
-            following = known.sequence + 1
-            self.say(known._replace(status=status, sequence=following))
-
-    @rule(which=_WHICH)
-    def restart(self, which: int) -> None:
-        """Start an upstream anew, under its address."""
-        name = _UPSTREAMS[which % len(_UPSTREAMS)]
-        following = self.said[name].incarnation + 1
-        fresh = make_announcement(name, self.said[name].port)
-        self.say(fresh._replace(incarnation=following))
-
-    @rule(which=_WHICH, late=_WHICH)
-    def repeat(self, which: int, late: int) -> None:
-        """Let an entry pass on what it heard long ago."""
-        process = self.cluster.processes[which % len(_ENTRIES)]
-        event = UpstreamAnnounced(self.former[late % len(self.former)])
+            next_number = current.sequence + 1
+            self.announce_change(
+                current._replace(status=status, sequence=next_number)
+            )
+
+    @rule(index=_INDEXES)
+    def restart(self, index: int) -> None:
+        """Restart an upstream at the same address."""
+        name = _UPSTREAMS[index % len(_UPSTREAMS)]
+        next_number = self.announced[name].incarnation + 1
+        fresh = make_announcement(name, self.announced[name].port)
+        self.announce_change(fresh._replace(incarnation=next_number))
+
+    @rule(index=_INDEXES, earlier_index=_INDEXES)
+    def repeat(self, index: int, earlier_index: int) -> None:
+        """Let an entry receive an outdated announcement."""
+        process = self.cluster.processes[index % len(_ENTRIES)]
+        event = UpstreamAnnounced(
+            self.earlier[earlier_index % len(self.earlier)]
+        )
         process.step(event, self.cluster.now_s)
 
     @rule(duration_s=st.sampled_from((0.1, 0.3, 1.0, 3.5)))
     def wait(self, duration_s: float) -> None:
-        """Let time pass; upstreams announce themselves again."""
+        """Let time pass while upstreams repeat their announcements."""
         tick_s = TICK_S if duration_s < 1 else _LONG_TICK_S
         for tick in range(round(duration_s / tick_s)):
             if tick % round(_HEARTBEAT_S / tick_s) == 0:
-                for announcement in self.said.values():
+                for announcement in self.announced.values():
                     self.announce(announcement)
             self.cluster.advance(tick_s, tick_s)
             self.check()
 
-    @rule(which=_WHICH, kind=st.sampled_from(_KINDS), is_only=st.booleans())
-    def trouble(self, which: int, kind: str, *, is_only: bool) -> None:
-        """Freeze, delay or cut off an entry; heal the others or not."""
-        if is_only:
+    @rule(
+        index=_INDEXES,
+        fault=st.sampled_from(_FAULTS),
+        heals_others=st.booleans(),
+    )
+    def inject_fault(
+        self, index: int, fault: str, *, heals_others: bool
+    ) -> None:
+        """Freeze, delay or cut off an entry, and optionally heal the others."""
+        if heals_others:
             for other in self.cluster.processes:
-                self.disturb(other, 'well')
-        self.disturb(self.cluster.processes[which % len(_ENTRIES)], kind)
+                self.set_fault(other, 'none')
+        self.set_fault(self.cluster.processes[index % len(_ENTRIES)], fault)
 
-    @rule(which=_WHICH)
-    def cut(self, which: int) -> None:
-        """End a stream."""
-        process = self.cluster.processes[which % len(_ENTRIES)]
+    @rule(index=_INDEXES)
+    def cut(self, index: int) -> None:
+        """Disconnect an entry from the leader."""
+        process = self.cluster.processes[index % len(_ENTRIES)]
         self.cluster.cut(process)
-        self.well_s[process.name] = self.cluster.now_s
+        self.healthy_since_s[process.name] = self.cluster.now_s
 
     @rule()
     def lose_leader(self) -> None:
-        """Let another leader start from the log."""
+        """Replace the leader by one that starts from the log."""
         self.cluster.replace_leader()
-        self.led_s = self.cluster.now_s
+        self.leader_since_s = self.cluster.now_s
 
-    def disturb(self, process: Process, kind: str) -> None:
-        """Put an entry into trouble or out of it."""
-        if not self.is_well(process) or kind != 'well':
-            self.well_s[process.name] = self.cluster.now_s
-        process.is_frozen = kind == 'frozen'
-        process.is_slow = kind in {'slow', 'cut'}
-        process.is_cut = kind == 'cut'
+    def set_fault(self, process: Process, fault: str) -> None:
+        """Set the fault of an entry."""
+        if not self.is_healthy(process) or fault != 'none':
+            self.healthy_since_s[process.name] = self.cluster.now_s
+        process.is_frozen = fault == 'frozen'
+        process.is_slow = fault in {'slow', 'cut'}
+        process.is_cut = fault == 'cut'
 
     @invariant()
     def check(self) -> None:
-        """Compare each entry's list with what was said."""
+        """Check the list of each entry."""
         for process in self.cluster.processes:
             listed = {one.instance: one for one in process.core.upstreams}
             for one in listed.values():
                 self.check_order(process.name, one)
-            if self.is_well(process):
-                self.check_listed(process.name, listed)
+            if self.is_healthy(process):
+                self.check_convergence(process.name, listed)
 
     def check_order(self, entry: str, listed: Announcement) -> None:
-        """Let no entry go back to an earlier word."""
-        place = (entry, listed.instance)
-        assert listed.version >= self.shown.get(place, (0, 0))
-        assert listed.version <= self.said[listed.instance].version
-        self.shown[place] = listed.version
-
-    def check_listed(self, entry: str, listed: dict[str, Announcement]) -> None:
-        """Compare a list of an entry that has been well for a while."""
+        """Check that an entry never goes back to an earlier version."""
+        key = (entry, listed.instance)
+        assert listed.version >= self.last_listed.get(key, (0, 0))
+        assert listed.version <= self.announced[listed.instance].version
+        self.last_listed[key] = listed.version
+
+    def check_convergence(
+        self, entry: str, listed: dict[str, Announcement]
+    ) -> None:
+        """Check that a healthy entry lists what was announced in time."""
         now_s = self.cluster.now_s
-        for name, said in self.said.items():
-            since_s = max(self.said_s[name], self.well_s[entry])
-            quiet_s = now_s - max(since_s, self.unheard_s)
-            known = listed.get(name)
-            is_usable = known is not None and (
-                known.version == said.version
-                and known.status is UpstreamStatus.serving
+        for name, announced in self.announced.items():
+            since_s = max(self.announced_s[name], self.healthy_since_s[entry])
+            quiet_s = now_s - max(since_s, self.last_unreceived_s)
+            upstream = listed.get(name)
+            is_usable = upstream is not None and (
+                upstream.version == announced.version
+                and upstream.status is UpstreamStatus.serving
             )
-            is_stopped = said.status is UpstreamStatus.stopped
-            if said.status is not UpstreamStatus.serving:
+            is_stopped = announced.status is UpstreamStatus.stopped
+            if announced.status is not UpstreamStatus.serving:
                 assert not is_usable
-            if quiet_s > _SETTLED_S and not is_stopped:
-                assert known is not None
-            if min(quiet_s, now_s - self.led_s) > _DRAIN_S:
-                assert known is None or known.version == said.version
-            if min(quiet_s, now_s - self.led_s) > _SETTLED_S and is_stopped:
-                assert known is None
+            if quiet_s > _CONVERGENCE_S and not is_stopped:
+                assert upstream is not None
+            if min(quiet_s, now_s - self.leader_since_s) > _DRAIN_DEADLINE_S:
+                assert upstream is None or upstream.version == announced.version
+            if (
+                min(quiet_s, now_s - self.leader_since_s) > _CONVERGENCE_S
+                and is_stopped
+            ):
+                assert upstream is None
 
 
 TestMembership = Membership.TestCase
--- a/tests/membership/test_roster.py
+++ b/tests/membership/test_roster.py
@@ -1,4 +1,4 @@
-"""Upstreams that come, fall silent, flap and leave."""
+"""Test joining, silent, flapping and departing upstreams."""
 
 from typing import Any
 
@@ -30,41 +30,39 @@
     }
 
 
-def _change(name: str, **fields: Any) -> Announcement:
+def _make_changed(name: str, **fields: Any) -> Announcement:
     return make_announcement(name)._replace(**fields)
 
 
-def test_late_announcement_does_not_revert_draining() -> None:
-    """Keep an upstream draining when an earlier word arrives.
+def test_outdated_announcement_does_not_revert_draining() -> None:
+    """Keep an upstream draining when an older announcement arrives late.
 
-    An entry was slow to pass on that the upstream serves; another has passed
-    on that it drains. Taken in the order of arrival, the upstream would get
-    new work while it waits to stop.
+    It would otherwise get new requests while it waits to stop.
     """
     roster = _make_roster('a')
-    draining = _change('a', status=UpstreamStatus.draining, sequence=2)
+    draining = _make_changed('a', status=UpstreamStatus.draining, sequence=2)
     roster.accept_announcement(draining, 11)
-    assert not roster.accept_announcement(_change('a', sequence=1), 11)
+    assert not roster.accept_announcement(_make_changed('a', sequence=1), 11)
     assert _get_status(roster, 11) == {'a': 'draining'}
 
 
-def test_late_announcement_does_not_bring_back_a_stopped_one() -> None:
-    """Keep a stopped upstream away after its record is gone.
+def test_outdated_announcement_does_not_restore_stopped_upstream() -> None:
+    """Reject announcements from before a stop after its record expired.
 
-    An entry that was frozen for an hour passes on what it heard before.
+    An entry that was frozen for an hour may still pass them on.
     """
     roster = _make_roster('a')
     roster.accept_announcement(
-        _change('a', status=UpstreamStatus.stopped, sequence=3), 11
+        _make_changed('a', status=UpstreamStatus.stopped, sequence=3), 11
     )
     roster.expire(3600)
     for sequence in (1, 2, 3):
-        roster.accept_announcement(_change('a', sequence=sequence), 3600)
+        roster.accept_announcement(_make_changed('a', sequence=sequence), 3600)
     assert _get_status(roster, 3600) == {}
 
 
-def test_silence_is_suspicion_and_then_the_end() -> None:
-    """Suspect one that is silent, and drop it after its lease."""
+def test_silent_upstream_is_suspected_then_removed() -> None:
+    """Suspect a silent upstream, and remove it after its lease."""
     roster = _make_roster('a', 'b', 'c')
     for name in ('b', 'c'):
         roster.accept_announcement(make_announcement(name), 12)
@@ -74,39 +72,41 @@
 
 
 def test_silent_pool_is_not_suspected() -> None:
-    """Suspect nobody when all of a pool fall silent at once.
+    """Suspect no upstream when a whole pool falls silent at once.
 
-    The way to the leader is broken, not the pool. If all were suspected, the
-    entries would refuse requests that the upstreams could serve.
+    Entries would otherwise refuse requests that the pool can serve while only
+    its path to the leader is down.
     """
     roster = _make_roster('a', 'b', 'c')
     assert set(_get_status(roster, 12).values()) == {'serving'}
 
 
 def test_flapping_instance_is_held_back() -> None:
-    """Give no work to an instance that starts again and again."""
+    """List an instance that restarts repeatedly as joining for a while."""
     roster = _make_roster('a')
     for start in range(2, 5):
-        roster.accept_announcement(_change('a', incarnation=start), 10 + start)
+        roster.accept_announcement(
+            _make_changed('a', incarnation=start), 10 + start
+        )
     assert _get_status(roster, 14) == {'a': 'joining'}
-    roster.accept_announcement(_change('a', incarnation=4), 24)
+    roster.accept_announcement(_make_changed('a', incarnation=4), 24)
     assert _get_status(roster, 24.1) == {'a': 'serving'}
 
 
-def test_wave_of_restarts_holds_nobody_back() -> None:
-    """Let 330 instances serve again that restart together."""
+def test_simultaneous_restarts_are_not_held_back() -> None:
+    """List 330 instances as serving after they restart together."""
     names = [f'enrol-{number}' for number in range(330)]
     roster = _make_roster(*names)
     for port, name in enumerate(names, start=1):
-        fresh = _change(name, incarnation=2, port=port)
+        fresh = _make_changed(name, incarnation=2, port=port)
         roster.accept_announcement(fresh, 11)
     changes = roster.publish_changes(11)
     assert (len(changes.changed), len(changes.removed_handles)) == (330, 330)
     assert set(_get_status(roster, 11).values()) == {'serving'}
 
 
-def test_address_belongs_to_whoever_announced_it_last() -> None:
-    """Drop an instance whose address another one announces."""
+def test_newest_announcement_of_an_address_wins() -> None:
+    """Remove an instance whose address another one announces."""
     roster = _make_roster('a')
     other = make_announcement('b', port=1)
     roster.accept_announcement(other, 11)
@@ -114,41 +114,43 @@
 
 
 def test_roster_is_bounded() -> None:
-    """Take no more instances than the bound, and keep those known.
+    """Reject instances beyond the maximum, and still update listed ones.
 
-    Somebody announces made-up names without end. Without a bound, the leader
-    would run out of memory and every entry with it.
+    A client that announces invented names must not exhaust the memory of the
+    leader and the entries.
     """
     roster = _make_roster(*(f'n{number}' for number in range(5100)))
     assert len(roster.upstreams) == 5000
-    assert roster.accept_announcement(_change('n1', sequence=1, port=2), 11)
+    assert roster.accept_announcement(
+        _make_changed('n1', sequence=1, port=2), 11
+    )
 
 
-def test_incomplete_list_drops_nobody() -> None:
-    """Keep serving by what is known until a new leader has heard all."""
+def test_incomplete_roster_removes_no_upstream() -> None:
+    """Keep listed upstreams until a new leader's roster is complete."""
     view = RosterView()
-    known = (RosterUpstream(1, make_announcement('a')),)
-    view.replace(known, 0, is_complete=True)
+    listed = (RosterUpstream(1, make_announcement('a')),)
+    view.replace(listed, 0, is_complete=True)
     view.replace((), 1, is_complete=False)
     assert len(view.announcements) == 1
     view.replace((), 4, is_complete=True)
     assert not view.announcements
 
 
-def test_view_takes_a_leaving_upstream_at_its_word() -> None:
-    """Stop at once what announces its end here, whatever the leader says."""
+def test_announced_departure_overrides_the_leader() -> None:
+    """Remove an upstream that announced its stop despite an older roster."""
     view = RosterView()
-    known = (RosterUpstream(1, make_announcement('a')),)
-    view.replace(known, 0, is_complete=True)
+    listed = (RosterUpstream(1, make_announcement('a')),)
+    view.replace(listed, 0, is_complete=True)
     view.accept_departure(
-        _change('a', status=UpstreamStatus.stopped, sequence=1), 1
+        _make_changed('a', status=UpstreamStatus.stopped, sequence=1), 1
     )
-    view.replace(known, 2, is_complete=True)
+    view.replace(listed, 2, is_complete=True)
     assert not view.announcements
 
 
-def test_handles_survive_their_encoding() -> None:
-    """Read the handles that were written, in a byte or two each."""
+def test_handles_round_trip() -> None:
+    """Decode encoded handles, which take one to three bytes each."""
     handles = [1, 5, 127, 128, 300, 100_000]
     encoded = encode_handles(reversed(handles))
     assert (decode_handles(encoded), len(encoded)) == (handles, 9)
