--- a/bench/idempotency.py
+++ b/bench/idempotency.py
@@ -17,11 +17,11 @@
     PEER_MESSAGES,
     ClaimDecided,
     ClaimOutcome,
-    ClaimWanted,
+    ClaimRequested,
     IdempotencyCore,
     Member,
-    OutcomeKnown,
     PeerReceived,
+    RequestEnded,
     SendToPeer,
     StoredAnswer,
     View,
@@ -75,10 +75,10 @@
         """Claim a key, and end it with an answer."""
         member = self._members[number % _ENTRIES]
         key = number.to_bytes(32)
-        self._feed(member, ClaimWanted(number, key, key, 10))
+        self._feed(member, ClaimRequested(number, key, key, 10))
         self._deliver()
         assert self._decided.pop().verdict == 'granted'
-        ended = OutcomeKnown(number, ClaimOutcome.answered, _ANSWER)
+        ended = RequestEnded(number, ClaimOutcome.answered, _ANSWER)
         self._feed(member, ended)
         self._deliver()
 
--- a/src/sardinemast/admission/_dispatcher.py
+++ b/src/sardinemast/admission/_dispatcher.py
@@ -11,7 +11,7 @@
 from sardinemast.admission._refusals import Refusal, refuse_not_run
 from sardinemast.admission._service_times import ServiceTimes
 from sardinemast.admission._usage import TeamUsage
-from sardinemast.protocol import PoolPart, TeamDemand, TeamUse
+from sardinemast.protocol import PoolAllotment, TeamDemand, TeamUse
 
 _COME_BACK_S = 1.0
 _NOW_S = float('-inf')
@@ -143,7 +143,7 @@
         for waiting in self._queue.take_due(now_s):
             yield waiting.request_id, _describe_late()
 
-    def replace_parts(self, pools: tuple[PoolPart, ...]) -> None:
+    def replace_parts(self, pools: tuple[PoolAllotment, ...]) -> None:
         """Take the teams' fair parts that the leader computed."""
         self._order.replace_parts(pools)
 
--- a/src/sardinemast/admission/_fair_order.py
+++ b/src/sardinemast/admission/_fair_order.py
@@ -5,7 +5,7 @@
 
 from sardinemast.admission._queue import Line
 from sardinemast.admission._usage import TeamUsage
-from sardinemast.protocol import PoolPart
+from sardinemast.protocol import PoolAllotment
 
 _UNKNOWN_PART_SLOTS = 1.0
 _MIN_PART_SLOTS = 0.02
@@ -31,7 +31,7 @@
         self._accounts: dict[Line, _Account] = {}
         self._served_s: dict[str, float] = {}
 
-    def replace_parts(self, pools: Iterable[PoolPart]) -> None:
+    def replace_parts(self, pools: Iterable[PoolAllotment]) -> None:
         """Take the fair parts that the leader computed."""
         self._parts = {
             (pool.pool, part.team): part.slots
--- a/src/sardinemast/admission/_slots.py
+++ b/src/sardinemast/admission/_slots.py
@@ -5,7 +5,7 @@
 
 from sardinemast.fleet import FleetState, get_pool
 from sardinemast.membership import Announcement, UpstreamStatus
-from sardinemast.protocol import PoolPart
+from sardinemast.protocol import PoolAllotment
 
 
 class SlotParts:
@@ -28,7 +28,7 @@
         self._announcements = announcements
         self._counted_at = None
 
-    def replace_parts(self, pools: Iterable[PoolPart]) -> None:
+    def replace_parts(self, pools: Iterable[PoolAllotment]) -> None:
         """Take this entry's parts."""
         self._parts = {one.pool: one.slots for one in pools}
 
--- a/src/sardinemast/control/_grant_desk.py
+++ b/src/sardinemast/control/_grant_desk.py
@@ -7,13 +7,13 @@
 from sardinemast.control._sessions import EntrySessions, Session
 from sardinemast.fleet import ChangeGrants, Command, FleetState, GrantChange
 from sardinemast.grants import (
-    DemandBook,
-    EntryNeed,
+    DemandTracker,
+    EntryDemand,
     GrantKey,
-    RunBounds,
-    Split,
+    GrantPlan,
+    RunBoundTracker,
+    plan_grants,
     plan_releases,
-    plan_split,
 )
 from sardinemast.protocol import (
     GrantRecall,
@@ -38,8 +38,8 @@
     ) -> None:
         self._context = context
         self._sessions = sessions
-        self._book = DemandBook(context.state)
-        self._bounds = RunBounds(context.lease_s)
+        self._book = DemandTracker(context.state)
+        self._bounds = RunBoundTracker(context.lease_s)
         self._releasing: set[Holder] = set()
         self._now_s: float = 0
         self._planned_s: float = 0
@@ -68,7 +68,7 @@
         """Answer what an entry wants and gives back."""
         self._now_s = now_s
         holder = (session.entry, session.incarnation)
-        touched = self._book.note_demands(holder, wish.demands, now_s)
+        touched = self._book.record_demands(holder, wish.demands, now_s)
         returns = self._book.accept_returns(holder, wish.returns)
         freed: Counter[str] = Counter()
         for change in returns:
@@ -86,19 +86,19 @@
             self._release_dead(now_s)
         if now_s >= self._planned_s + _PLAN_INTERVAL_S:
             self._planned_s = now_s
-            self._plan(self._book.get_needy_teams(), Counter(), [])
+            self._plan(self._book.get_waiting_teams(), Counter(), [])
 
     def note_applied(self, command: Command, state: FleetState) -> None:
         """Note what the log says about grants and longest runs."""
         if not isinstance(command, ChangeGrants):
-            self._bounds.note_document(state.document)
+            self._bounds.record_document(state.document)
             return
-        self._book.note_applied(command.changes, self._now_s)
+        self._book.record_applied(command.changes, self._now_s)
         held = {(one.entry, one.incarnation) for one in state.grants.values()}
         self._releasing.intersection_update(held)
 
     def _release_dead(self, now_s: float) -> None:
-        self._book.forget_silent(self._is_alive)
+        self._book.discard_expired(self._is_alive)
         releases = plan_releases(
             self._context.state,
             self._get_dead_until_s,
@@ -107,7 +107,7 @@
         releases = [
             change
             for change in releases
-            if not self._book.is_planned(_get_key(change))
+            if not self._book.has_pending_change(_get_key(change))
         ]
         self._releasing.update(
             (change.entry, change.incarnation) for change in releases
@@ -135,17 +135,19 @@
         for holder in sorted(recalled):
             self._send_recalls(holder, self._book.get_recalls(holder))
 
-    def _split(self, team: str, freed: int, returned: set[GrantKey]) -> Split:
+    def _split(
+        self, team: str, freed: int, returned: set[GrantKey]
+    ) -> GrantPlan:
         needs = self._book.get_needs(team, self._is_alive)
-        return plan_split(
+        return plan_grants(
             tuple(_settle(need, team, returned) for need in needs),
-            self._book.get_free(team) + freed,
+            self._book.get_unallocated(team) + freed,
             self._now_s,
         )
 
     def _propose(self, changes: list[GrantChange]) -> None:
         if changes:
-            self._book.note_planned(changes)
+            self._book.record_pending(changes)
             self._context.propose(
                 ChangeGrants(tuple(changes)),
                 INTERNAL_REQUEST,
@@ -171,21 +173,21 @@
 
     def _get_dead_until_s(self, entry: str, incarnation: int) -> float:
         lease_until_s = self._sessions.get_lease_until_s((entry, incarnation))
-        return lease_until_s + self._bounds.get_longest_s(self._now_s)
+        return lease_until_s + self._bounds.get_longest_run_s(self._now_s)
 
 
 def _settle(
-    need: EntryNeed,
+    need: EntryDemand,
     team: str,
     returned: set[GrantKey],
-) -> EntryNeed:
+) -> EntryDemand:
     """Leave out the holder whose return goes into the same command."""
     if _name_grant(need, team) in returned:
         return need._replace(is_settled=False)
     return need
 
 
-def _name_grant(need: EntryNeed, team: str) -> GrantKey:
+def _name_grant(need: EntryDemand, team: str) -> GrantKey:
     return GrantKey(need.entry, need.incarnation, team)
 
 
--- a/src/sardinemast/control/_roster_desk.py
+++ b/src/sardinemast/control/_roster_desk.py
@@ -91,7 +91,7 @@
                 *_split(changes.changed),
                 changes.gone,
                 self._epoch,
-                is_whole=False,
+                is_snapshot=False,
             )
             for stream_id in self._sessions.sessions:
                 self._context.send(stream_id, message)
--- a/src/sardinemast/control/_slot_desk.py
+++ b/src/sardinemast/control/_slot_desk.py
@@ -2,8 +2,8 @@
 
 from sardinemast.control._context import ControlContext
 from sardinemast.control._sessions import EntrySessions, Session
-from sardinemast.grants import PoolShares, TeamTerms
-from sardinemast.protocol import AllotSlots, PoolPart, ReportPools
+from sardinemast.grants import PoolShares, TeamQuota
+from sardinemast.protocol import AllotSlots, PoolAllotment, ReportPools
 
 _INTERVAL_S = 0.04
 
@@ -18,7 +18,7 @@
         self._sessions = sessions
         self._pools: dict[str, PoolShares] = {}
         self._entries_of: dict[str, set[str]] = {}
-        self._told: dict[int, tuple[PoolPart, ...]] = {}
+        self._told: dict[int, tuple[PoolAllotment, ...]] = {}
         self._planned_s = float('-inf')
 
     def start_term(self) -> None:
@@ -31,11 +31,11 @@
         """Take what an entry does in each pool that it uses."""
         fresh = {use.pool for use in report.pools}
         for pool in self._entries_of.get(session.entry, set()) - fresh:
-            self._pools[pool].drop(session.entry)
+            self._pools[pool].remove_entry(session.entry)
         self._entries_of[session.entry] = fresh
         for use in report.pools:
             shares = self._pools.setdefault(use.pool, PoolShares(use.pool))
-            shares.take_use(session.entry, use)
+            shares.record_use(session.entry, use)
 
     def tick(self, now_s: float) -> None:
         """Allot all pools again when it is time."""
@@ -56,7 +56,7 @@
         if not entries:
             return
         terms = {
-            team.name: TeamTerms(team.share, team.limit)
+            team.name: TeamQuota(team.share, team.limit)
             for team in self._context.state.document.teams.values()
         }
         plans = [
@@ -73,9 +73,9 @@
     def _drop_gone(self, connected: set[str]) -> None:
         for entry in set(self._entries_of) - connected:
             for pool in self._entries_of.pop(entry):
-                self._pools[pool].drop(entry)
+                self._pools[pool].remove_entry(entry)
 
-    def _tell(self, session: Session, parts: tuple[PoolPart, ...]) -> None:
+    def _tell(self, session: Session, parts: tuple[PoolAllotment, ...]) -> None:
         if self._told.get(session.stream_id) != parts:
             self._told[session.stream_id] = parts
             self._context.send(session.stream_id, AllotSlots(parts))
--- a/src/sardinemast/entry/_core.py
+++ b/src/sardinemast/entry/_core.py
@@ -14,23 +14,23 @@
     check_arrival,
     refuse_without_lease,
 )
-from sardinemast.entry._demand import DemandReports
+from sardinemast.entry._control_link import ControlLink
+from sardinemast.entry._demand_reports import DemandReports
 from sardinemast.entry._events import (
     AttemptEnded,
-    CallerLeft,
-    ControlLost,
+    CallerDisconnected,
+    ControlDisconnected,
     ControlReceived,
     EntryEvent,
     EntryOutput,
-    PassAnswer,
+    ForwardAnswer,
     RefuseRequest,
     RequestArrived,
     SendToControl,
     Tick,
     UpstreamAnnounced,
 )
-from sardinemast.entry._link import ControlLink
-from sardinemast.entry._reports import UpstreamReports
+from sardinemast.entry._upstream_reports import UpstreamReports
 from sardinemast.fleet import FleetState, get_pool
 from sardinemast.grants import GrantHolder
 from sardinemast.membership import Announcement, RosterUpstream, RosterView
@@ -79,11 +79,11 @@
         self._handlers: dict[type, Callable[[Any, float], None]] = {
             Tick: self._handle_tick,
             RequestArrived: self._handle_arrival,
-            CallerLeft: self._handle_caller_left,
+            CallerDisconnected: self._handle_caller_left,
             AttemptEnded: self._handle_ended,
             UpstreamAnnounced: self._handle_announced,
             ControlReceived: self._handle_control,
-            ControlLost: self._handle_lost,
+            ControlDisconnected: self._handle_lost,
         }
         self._outputs: list[EntryOutput] = []
 
@@ -101,9 +101,9 @@
         """Tell the balancer whether to send requests here."""
         return self._link.has_lease(now_s)
 
-    def start_leaving(self) -> None:
+    def start_returning_grants(self) -> None:
         """Give all grants back; nothing waits any more."""
-        self._holder.start_leaving()
+        self._holder.start_returning_grants()
 
     def holds_grants(self) -> bool:
         """Tell whether the log has grants of this entry."""
@@ -154,7 +154,9 @@
             now_s,
         )
 
-    def _handle_caller_left(self, event: CallerLeft, now_s: float) -> None:
+    def _handle_caller_left(
+        self, event: CallerDisconnected, now_s: float
+    ) -> None:
         # What runs goes on and keeps its place; only what waits is dropped.
         self._dispatcher.drop(event.request_id)
         self._attempts.leave(event.request_id)
@@ -182,7 +184,7 @@
         if refusal is not None:
             self._refuse(event.request_id, refusal)
         elif ending.next_step is NextStep.pass_answer:
-            self._outputs.append(PassAnswer(event.request_id))
+            self._outputs.append(ForwardAnswer(event.request_id))
 
     def _handle_announced(
         self,
@@ -193,7 +195,7 @@
         if self._view.take_leaving(event.announcement, now_s):
             self._show_roster(now_s)
 
-    def _handle_lost(self, event: ControlLost, now_s: float) -> None:
+    def _handle_lost(self, event: ControlDisconnected, now_s: float) -> None:
         """Let the lease run out by itself, and tell all to the next leader."""
         self._view.forget_handles()
         self._demand.reset()
@@ -219,7 +221,7 @@
         upstreams = tuple(
             map(RosterUpstream, handles, message.announcements),
         )
-        if message.is_whole:
+        if message.is_snapshot:
             self._view.replace(
                 upstreams,
                 now_s,
@@ -227,7 +229,7 @@
             )
             self._reports.start_epoch(message.epoch)
         else:
-            self._view.change(upstreams, message.gone, now_s)
+            self._view.change(upstreams, message.removed_handles, now_s)
         self._show_roster(now_s)
 
     def _show_roster(self, now_s: float) -> None:
--- a/src/sardinemast/entry/_demand.py
+++ b/src/sardinemast/entry/_demand_reports.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 
 from sardinemast.admission import Dispatcher, SlotParts
-from sardinemast.entry._link import URGENT_INTERVAL_S, ControlLink
+from sardinemast.entry._control_link import URGENT_INTERVAL_S, ControlLink
 from sardinemast.grants import GrantHolder
 from sardinemast.protocol import (
     EntryMessage,
--- a/src/sardinemast/entry/_events.py
+++ b/src/sardinemast/entry/_events.py
@@ -18,7 +18,7 @@
     arrival: Arrival
 
 
-class CallerLeft(NamedTuple):
+class CallerDisconnected(NamedTuple):
     """Tell that nobody waits for the answer any more."""
 
     request_id: int
@@ -43,11 +43,11 @@
     message: ControlMessage
 
 
-class ControlLost(NamedTuple):
+class ControlDisconnected(NamedTuple):
     """Tell that the stream to the leader has ended."""
 
 
-class PassAnswer(NamedTuple):
+class ForwardAnswer(NamedTuple):
     """Give the upstream's answer to the caller."""
 
     request_id: int
@@ -69,10 +69,10 @@
 EntryEvent = (
     Tick
     | RequestArrived
-    | CallerLeft
+    | CallerDisconnected
     | AttemptEnded
     | UpstreamAnnounced
     | ControlReceived
-    | ControlLost
+    | ControlDisconnected
 )
-EntryOutput = StartAttempt | PassAnswer | RefuseRequest | SendToControl
+EntryOutput = StartAttempt | ForwardAnswer | RefuseRequest | SendToControl
--- a/src/sardinemast/grants/__init__.py
+++ b/src/sardinemast/grants/__init__.py
@@ -1,31 +1,31 @@
 """Split each team's upper limit into grants that entries hold."""
 
-from sardinemast.grants._book import DemandBook, GrantKey
+from sardinemast.grants._demand_tracker import DemandTracker, GrantKey
 from sardinemast.grants._holder import GrantHolder
-from sardinemast.grants._releases import RunBounds, plan_releases
+from sardinemast.grants._planner import (
+    ROTATION_INTERVAL_S,
+    EntryDemand,
+    GrantPlan,
+    plan_grants,
+)
+from sardinemast.grants._releases import RunBoundTracker, plan_releases
 from sardinemast.grants._shares import (
     PoolShares,
-    TeamTerms,
+    TeamQuota,
     split_max_min,
 )
-from sardinemast.grants._splitter import (
-    ROTATION_S,
-    EntryNeed,
-    Split,
-    plan_split,
-)
 
 __all__ = (
-    'ROTATION_S',
-    'DemandBook',
-    'EntryNeed',
+    'ROTATION_INTERVAL_S',
+    'DemandTracker',
+    'EntryDemand',
     'GrantHolder',
     'GrantKey',
     'PoolShares',
-    'RunBounds',
-    'Split',
-    'TeamTerms',
+    'RunBoundTracker',
+    'GrantPlan',
+    'TeamQuota',
     'plan_releases',
-    'plan_split',
+    'plan_grants',
     'split_max_min',
 )
--- a/src/sardinemast/grants/_book.py
+++ b/src/sardinemast/grants/_demand_tracker.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from sardinemast.fleet import FleetState, Grant, GrantChange
-from sardinemast.grants._splitter import EntryNeed
+from sardinemast.grants._planner import EntryDemand
 from sardinemast.protocol import GrantRecall, GrantReturn, TeamDemand
 
 Holder = tuple[str, int]
@@ -24,7 +24,7 @@
     is_raise: bool
 
 
-class DemandBook:
+class DemandTracker:
     """Hold demand, planned changes and recalls of one term.
 
     Only the leader's memory holds this. A new leader hears all demand again
@@ -52,7 +52,7 @@
         self._planned.clear()
         self._recalls.clear()
 
-    def note_demands(
+    def record_demands(
         self,
         holder: Holder,
         demands: Iterable[TeamDemand],
@@ -69,7 +69,7 @@
                 newly_short.add(demand.team)
         return newly_short
 
-    def forget_silent(self, is_alive: Callable[[Holder], bool]) -> None:
+    def discard_expired(self, is_alive: Callable[[Holder], bool]) -> None:
         """Forget what entries without a lease wanted."""
         for holder in tuple(self._demands):
             if not is_alive(holder):
@@ -99,14 +99,14 @@
                 changes.append(GrantChange(*key, returned.amount))
         return changes
 
-    def note_planned(self, changes: Iterable[GrantChange]) -> None:
+    def record_pending(self, changes: Iterable[GrantChange]) -> None:
         """Note changes that are on their way into the log."""
         for change in changes:
             key = _get_key(change)
             is_raise = change.amount > self._get_amount(key)
             self._planned[key] = _Planned(change.amount, is_raise)
 
-    def note_applied(
+    def record_applied(
         self,
         changes: Iterable[GrantChange],
         now_s: float,
@@ -120,15 +120,15 @@
             self._recalls.pop(key, None)
             self._waiting_s.pop(key, None)
 
-    def is_planned(self, key: GrantKey) -> bool:
+    def has_pending_change(self, key: GrantKey) -> bool:
         """Tell whether a change of the grant is on its way."""
         return key in self._planned
 
-    def get_needy_teams(self) -> set[str]:
+    def get_waiting_teams(self) -> set[str]:
         """Give the teams for which an entry waits."""
         return {key.team for key in self._waiting_s}
 
-    def get_free(self, team: str) -> int:
+    def get_unallocated(self, team: str) -> int:
         """Give what may still be granted; negative when too much is."""
         declared = self._state.document.teams.get(team)
         limit = declared.limit if declared else 0
@@ -143,7 +143,7 @@
         self,
         team: str,
         is_alive: Callable[[Holder], bool],
-    ) -> tuple[EntryNeed, ...]:
+    ) -> tuple[EntryDemand, ...]:
         """Give what each living entry holds and wants of a team."""
         return tuple(
             self._get_need(GrantKey(*holder, team), demands.get(team))
@@ -168,13 +168,13 @@
         self,
         key: GrantKey,
         demand: TeamDemand | None,
-    ) -> EntryNeed:
+    ) -> EntryDemand:
         held = self._get_held(key)
         wanted = demand.wanted if demand else 0
         if wanted <= held:
             self._waiting_s.pop(key, None)
         kept = self._recalls[key].amount if self._is_open(key) else held
-        return EntryNeed(
+        return EntryDemand(
             key.entry,
             key.incarnation,
             held,
--- a/src/sardinemast/grants/_holder.py
+++ b/src/sardinemast/grants/_holder.py
@@ -42,7 +42,7 @@
         self._read(state)
         return self._usable
 
-    def start_leaving(self) -> None:
+    def start_returning_grants(self) -> None:
         """Give back all that is idle from now on.
 
         Grants of an entry that stops would else lie idle until its lease and
--- a/src/sardinemast/grants/_splitter.py
+++ b/src/sardinemast/grants/_planner.py
@@ -5,81 +5,81 @@
 from itertools import cycle, islice
 from typing import NamedTuple
 
-ROTATION_S = 0.25
+ROTATION_INTERVAL_S = 0.25
 _MIN_EXCESS = 1.0
 _MIN_LACK = 0.5
 
 
-class EntryNeed(NamedTuple):
+class EntryDemand(NamedTuple):
     """Hold what one living entry holds and wants of a team's limit.
 
-    ``kept`` is what stays of ``held`` once recalls under way are answered.
-    ``is_settled`` is false while a change of its grant is on the way into
-    the log. ``raised_s`` and ``waiting_s`` tell since when it has its newest
-    unit and since when it waits for another.
+    ``retained`` is the part of ``held`` that is left once the entry has
+    answered pending recalls. ``is_settled`` is false while a change of its
+    grant is being committed. ``raised_at_s`` is when its grant last grew, and
+    ``waiting_since_s`` when it began to wait for more.
     """
 
     entry: str
     incarnation: int
     held: int
-    kept: int
+    retained: int
     wanted: int
     is_settled: bool
-    raised_s: float
-    waiting_s: float
+    raised_at_s: float
+    waiting_since_s: float
 
     @property
-    def lack(self) -> int:
+    def shortfall(self) -> int:
         """Give what it could use beyond what stays with it."""
-        return max(0, self.wanted - self.kept)
+        return max(0, self.wanted - self.retained)
 
     @property
     def idle(self) -> int:
         """Give what stays with it and is not used."""
-        return max(0, self.kept - self.wanted)
+        return max(0, self.retained - self.wanted)
 
 
-class Split(NamedTuple):
+class GrantPlan(NamedTuple):
     """Hold the new amount of each entry that is to be raised or recalled."""
 
-    raises: tuple[tuple[EntryNeed, int], ...]
-    recalls: tuple[tuple[EntryNeed, int], ...]
+    raises: tuple[tuple[EntryDemand, int], ...]
+    recalls: tuple[tuple[EntryDemand, int], ...]
 
 
-def plan_split(
-    needs: tuple[EntryNeed, ...],
+def plan_grants(
+    needs: tuple[EntryDemand, ...],
     free: int,
     now_s: float,
-) -> Split:
+) -> GrantPlan:
     """Give out what is free, then ask back what others wait for.
 
     Idle units are asked back first. Where none is idle, units move from an
     entry with more than its part by demand, at most one each
-    ``ROTATION_S``: each move costs a commit and leaves the unit unused for
-    as long.
+    ``ROTATION_INTERVAL_S``: each move costs a commit and leaves the unit
+    unused for as long.
     """
-    coming = sum(one.held - one.kept for one in needs)
-    lacking = sum(one.lack for one in needs) - max(0, free) - coming
+    coming = sum(one.held - one.retained for one in needs)
+    lacking = sum(one.shortfall for one in needs) - max(0, free) - coming
     raises = tuple(_plan_raises(needs, free))
     if lacking <= 0:
-        return Split(raises, ())
+        return GrantPlan(raises, ())
     recalls = dict(_plan_idle(needs, lacking))
     if not recalls:
         recalls = dict(_plan_rotation(needs, free, now_s))
-    return Split(raises, tuple(recalls.items()))
+    return GrantPlan(raises, tuple(recalls.items()))
 
 
 def _plan_raises(
-    needs: tuple[EntryNeed, ...],
+    needs: tuple[EntryDemand, ...],
     free: int,
-) -> Iterator[tuple[EntryNeed, int]]:
+) -> Iterator[tuple[EntryDemand, int]]:
     if free <= 0:
         return
     waiting = sorted(
-        (one for one in needs if one.lack and one.is_settled),
-        key=lambda one: (one.waiting_s, one.entry),
+        (one for one in needs if one.shortfall and one.is_settled),
+        key=lambda one: (one.waiting_since_s, one.entry),
     )
-    lacking = sum(one.lack for one in waiting)
+    lacking = sum(one.shortfall for one in waiting)
     # A spare unit with each entry spares the next request a round trip; half
     # of what is free stays with the leader for the others.
     spare = max(0, free - lacking) // (2 * max(1, len(needs)))
@@ -88,8 +88,8 @@
         yield need, need.held + more + spare
 
 
-def _take_turns(waiting: list[EntryNeed]) -> Iterator[EntryNeed]:
-    left = {one: one.lack for one in waiting}
+def _take_turns(waiting: list[EntryDemand]) -> Iterator[EntryDemand]:
+    left = {one: one.shortfall for one in waiting}
     for one in cycle(waiting):
         if left[one]:
             left[one] -= 1
@@ -99,49 +99,53 @@
 
 
 def _plan_idle(
-    needs: Iterable[EntryNeed],
+    needs: Iterable[EntryDemand],
     lacking: int,
-) -> Iterator[tuple[EntryNeed, int]]:
+) -> Iterator[tuple[EntryDemand, int]]:
     idlest_first = sorted(needs, key=_rank_by_idle)
     for one in idlest_first:
         taken = min(one.idle, lacking)
         if taken and one.is_settled:
             lacking -= taken
-            yield one, one.kept - taken
+            yield one, one.retained - taken
 
 
-def _rank_by_idle(one: EntryNeed) -> tuple[int, str]:
+def _rank_by_idle(one: EntryDemand) -> tuple[int, str]:
     return (-one.idle, one.entry)
 
 
 def _plan_rotation(
-    needs: tuple[EntryNeed, ...],
+    needs: tuple[EntryDemand, ...],
     free: int,
     now_s: float,
-) -> Iterator[tuple[EntryNeed, int]]:
+) -> Iterator[tuple[EntryDemand, int]]:
     whole = max(0, free) + sum(one.held for one in needs)
     part = whole / sum(one.wanted for one in needs)
     givers = sorted(
         (one for one in needs if _may_give(one, now_s)),
-        key=lambda one: (one.raised_s, one.entry),
+        key=lambda one: (one.raised_at_s, one.entry),
     )
     takers = sorted(
-        (one for one in needs if one.lack),
-        key=lambda one: (bool(one.held), one.waiting_s, one.entry),
+        (one for one in needs if one.shortfall),
+        key=lambda one: (bool(one.held), one.waiting_since_s, one.entry),
     )
-    under_way = sum(one.held - one.kept for one in needs)
+    under_way = sum(one.held - one.retained for one in needs)
     for giver, taker in zip(givers, takers[under_way:], strict=False):
         if _is_move_due(giver, taker, part):
             yield giver, giver.held - 1
 
 
-def _is_move_due(giver: EntryNeed, taker: EntryNeed, part: float) -> bool:
+def _is_move_due(giver: EntryDemand, taker: EntryDemand, part: float) -> bool:
     excess = giver.held - part * giver.wanted
-    lack = part * taker.wanted - taker.held
+    shortfall = part * taker.wanted - taker.held
     is_starved = excess > 0 and not taker.held
-    return is_starved or (excess >= _MIN_EXCESS and lack >= _MIN_LACK)
+    return is_starved or (excess >= _MIN_EXCESS and shortfall >= _MIN_LACK)
 
 
-def _may_give(one: EntryNeed, now_s: float) -> bool:
-    is_whole = one.is_settled and one.kept == one.held
-    return is_whole and one.held > 0 and now_s >= one.raised_s + ROTATION_S
+def _may_give(one: EntryDemand, now_s: float) -> bool:
+    is_whole = one.is_settled and one.retained == one.held
+    return (
+        is_whole
+        and one.held > 0
+        and now_s >= one.raised_at_s + ROTATION_INTERVAL_S
+    )
--- a/src/sardinemast/grants/_releases.py
+++ b/src/sardinemast/grants/_releases.py
@@ -34,7 +34,7 @@
     until_s: float
 
 
-class RunBounds:
+class RunBoundTracker:
     """Know the longest permitted run, also of documents just replaced.
 
     A request that started under a longer bound goes on by that bound. A
@@ -47,12 +47,12 @@
         self._fresh: list[float] = []
         self._former: list[_FormerBound] = []
 
-    def note_document(self, document: FleetDocument) -> None:
+    def record_document(self, document: FleetDocument) -> None:
         """Take the document that is in place now."""
         self._fresh.append(self._current_s)
         self._current_s = _get_longest_run_s(document)
 
-    def get_longest_s(self, now_s: float) -> float:
+    def get_longest_run_s(self, now_s: float) -> float:
         """Give the longest run that may be under way."""
         self._former.extend(
             _FormerBound(bound_s, now_s + self._lease_s + bound_s)
--- a/src/sardinemast/grants/_shares.py
+++ b/src/sardinemast/grants/_shares.py
@@ -5,7 +5,7 @@
 from heapq import heapify, heapreplace
 from typing import NamedTuple
 
-from sardinemast.protocol import PoolPart, PoolUse, TeamPart, TeamUse
+from sardinemast.protocol import PoolAllotment, PoolUse, TeamAllotment, TeamUse
 
 _CORRECTION_S = 1.0
 _MAX_DEBT_S = 5.0
@@ -13,7 +13,7 @@
 _DIGITS = 3
 
 
-class TeamTerms(NamedTuple):
+class TeamQuota(NamedTuple):
     """Hold a team's share and the upper limit on what it runs."""
 
     share: float
@@ -54,7 +54,7 @@
         self._planned_s: float = 0
         self._turn = 0
 
-    def take_use(self, entry: str, use: PoolUse) -> None:
+    def record_use(self, entry: str, use: PoolUse) -> None:
         """Take what an entry reports."""
         self._uses[entry] = use
         for one in use.teams:
@@ -64,7 +64,7 @@
             self._received_s[one.team] += max(0, one.used_s - known_s)
             self._used_s[key] = one.used_s
 
-    def drop(self, entry: str) -> None:
+    def remove_entry(self, entry: str) -> None:
         """Forget an entry that is gone or uses the pool no more."""
         self._uses.pop(entry, None)
         if not self._uses:
@@ -77,10 +77,10 @@
 
     def plan(
         self,
-        terms: Mapping[str, TeamTerms],
+        terms: Mapping[str, TeamQuota],
         entries: tuple[str, ...],
         now_s: float,
-    ) -> dict[str, PoolPart]:
+    ) -> dict[str, PoolAllotment]:
         """Give each entry its slots and the teams' fair parts of them."""
         reported = (use.capacity_slots for use in self._uses.values())
         capacity = max(reported, default=0)
@@ -96,14 +96,16 @@
         by_entry = self._split_over_entries(corrected)
         slots = self._allot(by_entry, entries, capacity)
         return {
-            entry: PoolPart(self._pool, slots[entry], by_entry.get(entry, ()))
+            entry: PoolAllotment(
+                self._pool, slots[entry], by_entry.get(entry, ())
+            )
             for entry in entries
         }
 
     def _get_debt(self, team: str) -> float:
         return self._debts_s.get(team, 0) / _CORRECTION_S
 
-    def _sum_wanted(self, terms: Mapping[str, TeamTerms]) -> dict[str, float]:
+    def _sum_wanted(self, terms: Mapping[str, TeamQuota]) -> dict[str, float]:
         return {
             team: min(amount, terms[team].limit)
             for team, amount in self._count_wanted().items()
@@ -132,12 +134,12 @@
     def _split_over_entries(
         self,
         parts: Mapping[str, float],
-    ) -> dict[str, tuple[TeamPart, ...]]:
+    ) -> dict[str, tuple[TeamAllotment, ...]]:
         totals = self._count_wanted()
-        by_entry: dict[str, tuple[TeamPart, ...]] = {}
+        by_entry: dict[str, tuple[TeamAllotment, ...]] = {}
         for entry, use in self._uses.items():
             by_entry[entry] = tuple(
-                TeamPart(one.team, _scale(parts[one.team], one, totals))
+                TeamAllotment(one.team, _scale(parts[one.team], one, totals))
                 for one in use.teams
                 if one.team in parts
             )
@@ -145,7 +147,7 @@
 
     def _allot(
         self,
-        by_entry: Mapping[str, tuple[TeamPart, ...]],
+        by_entry: Mapping[str, tuple[TeamAllotment, ...]],
         entries: tuple[str, ...],
         capacity: int,
     ) -> dict[str, int]:
--- a/src/sardinemast/idempotency/__init__.py
+++ b/src/sardinemast/idempotency/__init__.py
@@ -6,12 +6,12 @@
 )
 from sardinemast.idempotency._events import (
     ClaimDecided,
+    ClaimRequested,
     ClaimVerdict,
-    ClaimWanted,
     IdempotencyEvent,
     IdempotencyOutput,
-    OutcomeKnown,
     PeerReceived,
+    RequestEnded,
     SendToPeer,
     Tick,
     ViewChanged,
@@ -26,23 +26,23 @@
     StoredAnswer,
     View,
 )
-from sardinemast.idempotency._records import RETAIN_S
+from sardinemast.idempotency._records import RETENTION_S
 
 __all__ = (
     'CLAIM_TIMEOUT_S',
     'PEER_MESSAGES',
-    'RETAIN_S',
+    'RETENTION_S',
     'Claim',
     'ClaimDecided',
     'ClaimId',
     'ClaimOutcome',
     'ClaimVerdict',
-    'ClaimWanted',
+    'ClaimRequested',
     'IdempotencyCore',
     'IdempotencyEvent',
     'IdempotencyOutput',
     'Member',
-    'OutcomeKnown',
+    'RequestEnded',
     'PeerMessage',
     'PeerReceived',
     'SendToPeer',
--- a/src/sardinemast/idempotency/_core.py
+++ b/src/sardinemast/idempotency/_core.py
@@ -7,12 +7,12 @@
 
 from sardinemast.idempotency._events import (
     ClaimDecided,
+    ClaimRequested,
     ClaimVerdict,
-    ClaimWanted,
     IdempotencyEvent,
     IdempotencyOutput,
-    OutcomeKnown,
     PeerReceived,
+    RequestEnded,
     SendToPeer,
     Tick,
     ViewChanged,
@@ -32,8 +32,8 @@
     SyncAsked,
     View,
 )
-from sardinemast.idempotency._records import RETAIN_S
-from sardinemast.idempotency._ring import get_holders, get_quorum
+from sardinemast.idempotency._records import RETENTION_S
+from sardinemast.idempotency._rendezvous import get_holders, get_quorum
 
 CLAIM_TIMEOUT_S = 1.0
 _REPEAT_S = 0.1
@@ -129,12 +129,12 @@
             self._ask(cleared, now_s)
 
     @_handle.register
-    def _handle_wanted(self, event: ClaimWanted, now_s: float) -> None:
+    def _handle_wanted(self, event: ClaimRequested, now_s: float) -> None:
         claim = Claim(
             ClaimId(*self._own, next(self._numbers)),
             event.key,
-            event.content,
-            event.bound_s,
+            event.content_digest,
+            event.max_duration_s,
         )
         pending = _Pending(
             event.request_id, claim, now_s + CLAIM_TIMEOUT_S, now_s
@@ -143,7 +143,7 @@
         self._ask(pending, now_s)
 
     @_handle.register
-    def _handle_outcome(self, event: OutcomeKnown, now_s: float) -> None:
+    def _handle_outcome(self, event: RequestEnded, now_s: float) -> None:
         granted = self._granted.pop(event.request_id, None)
         if granted is not None:
             self._end(granted[0], event.outcome, event, now_s)
@@ -233,7 +233,7 @@
             ),
         )
         self._withdraw(pending, now_s)
-        if best.content != pending.claim.content:
+        if best.content_digest != pending.claim.content_digest:
             self._decide(pending, ClaimVerdict.mismatch)
             return
         self._outputs.append(
@@ -265,20 +265,20 @@
 
     def _forget_granted(self, now_s: float) -> None:
         for request_id, (_, granted_s) in tuple(self._granted.items()):
-            if granted_s > now_s - RETAIN_S:
+            if granted_s > now_s - RETENTION_S:
                 return
             self._granted.pop(request_id)
 
     def _withdraw(self, pending: _Pending, now_s: float) -> None:
         self._pending.pop(pending.claim.claim_id, None)
-        released = OutcomeKnown(pending.request_id, ClaimOutcome.released)
+        released = RequestEnded(pending.request_id, ClaimOutcome.released)
         self._end(pending.claim, ClaimOutcome.released, released, now_s)
 
     def _end(
         self,
         claim: Claim,
         outcome: ClaimOutcome,
-        event: OutcomeKnown,
+        event: RequestEnded,
         now_s: float,
     ) -> None:
         message = ClaimEnded(claim.claim_id, claim.key, outcome, event.answer)
--- a/src/sardinemast/idempotency/_events.py
+++ b/src/sardinemast/idempotency/_events.py
@@ -29,16 +29,16 @@
     message: PeerMessage
 
 
-class ClaimWanted(NamedTuple):
+class ClaimRequested(NamedTuple):
     """Ask whether a request may run; see ``Claim`` for the fields."""
 
     request_id: int
     key: bytes
-    content: bytes
-    bound_s: float
+    content_digest: bytes
+    max_duration_s: float
 
 
-class OutcomeKnown(NamedTuple):
+class RequestEnded(NamedTuple):
     """Tell how a request with a granted claim ended.
 
     ``released`` may be said only where no byte has left for an upstream.
@@ -76,6 +76,6 @@
 
 
 IdempotencyEvent = (
-    Tick | ViewChanged | PeerReceived | ClaimWanted | OutcomeKnown
+    Tick | ViewChanged | PeerReceived | ClaimRequested | RequestEnded
 )
 IdempotencyOutput = SendToPeer | ClaimDecided
--- a/src/sardinemast/idempotency/_holder.py
+++ b/src/sardinemast/idempotency/_holder.py
@@ -13,11 +13,11 @@
 )
 from sardinemast.idempotency._records import (
     MAX_ANSWER_BYTES,
-    RETAIN_S,
+    RETENTION_S,
     Record,
     RecordTable,
 )
-from sardinemast.idempotency._ring import get_holders
+from sardinemast.idempotency._rendezvous import get_holders
 
 
 class Holder:
@@ -49,7 +49,7 @@
 
     def get_missing(self, now_s: float) -> tuple[str, ...]:
         """Give the entries that must still be heard."""
-        if now_s >= self._started_s + RETAIN_S:
+        if now_s >= self._started_s + RETENTION_S:
             return ()
         return tuple(sorted(self._missing or ()))
 
@@ -174,7 +174,7 @@
             outcome = ClaimOutcome.unknown
         return ClaimKnown(
             asked.claim.claim_id,
-            record.claim.content,
+            record.claim.content_digest,
             outcome,
             record.answer,
         )
@@ -183,7 +183,7 @@
         claimant = Member(*record.claim.claim_id[:2])
         return (
             claimant not in self._view.members
-            or now_s >= record.started_s + record.claim.bound_s
+            or now_s >= record.started_s + record.claim.max_duration_s
         )
 
     def _get_holders(self, key: bytes) -> tuple[str, ...]:
--- a/src/sardinemast/idempotency/_messages.py
+++ b/src/sardinemast/idempotency/_messages.py
@@ -34,17 +34,17 @@
 
 
 class Claim(NamedTuple):
-    """Hold what a request wants to run under.
+    """Request the right to run under an idempotency key.
 
-    ``key`` stands for team, pool and the caller's key, and ``content`` for
-    the request itself; both are digests. After ``bound_s`` the request has
-    surely ended.
+    ``key`` is a digest of team, pool and the caller's key, and
+    ``content_digest`` one of the request itself. ``max_duration_s`` is an
+    upper bound on the time until the request has ended.
     """
 
     claim_id: ClaimId
     key: bytes
-    content: bytes
-    bound_s: float
+    content_digest: bytes
+    max_duration_s: float
 
 
 class ClaimOutcome(StrEnum):
@@ -83,7 +83,7 @@
     """Tell what is known of the key instead."""
 
     claim_id: ClaimId
-    content: bytes
+    content_digest: bytes
     outcome: ClaimOutcome
     answer: StoredAnswer | None
 
--- a/src/sardinemast/idempotency/_records.py
+++ b/src/sardinemast/idempotency/_records.py
@@ -12,7 +12,7 @@
     StoredAnswer,
 )
 
-RETAIN_S = 300.0
+RETENTION_S = 300.0
 MAX_CLAIMS = 50_000
 MAX_ANSWER_BYTES = 65_536
 MAX_ANSWERS_BYTES = 16_777_216
@@ -88,7 +88,7 @@
 
     def expire(self, now_s: float) -> None:
         """Forget what is older than callers may resend."""
-        while self._order and self._order[0][0] <= now_s - RETAIN_S:
+        while self._order and self._order[0][0] <= now_s - RETENTION_S:
             _, key, claim_id = self._order.popleft()
             self._forget(key, claim_id)
 
--- a/src/sardinemast/protocol/_messages.py
+++ b/src/sardinemast/protocol/_messages.py
@@ -62,19 +62,19 @@
     teams: tuple[TeamUse, ...]
 
 
-class TeamPart(NamedTuple):
+class TeamAllotment(NamedTuple):
     """Give a team's fair part of an entry's slots; it may be a fraction."""
 
     team: str
     slots: float
 
 
-class PoolPart(NamedTuple):
+class PoolAllotment(NamedTuple):
     """Give an entry its part of a pool's slots."""
 
     pool: str
     slots: int
-    teams: tuple[TeamPart, ...]
+    teams: tuple[TeamAllotment, ...]
 
 
 class RenewLease(NamedTuple):
@@ -163,18 +163,18 @@
 
 
 class RosterChanged(NamedTuple):
-    """Send all upstreams that are there, or what has changed of them.
+    """Send a snapshot of the roster of upstreams, or a change to it.
 
-    ``handles`` stand for the announcements in their order, ``gone`` for those
-    that ended. A list that is not complete lacks upstreams which a new
-    leader has not heard yet.
+    ``handles`` are those of ``announcements``, in the same order, and
+    ``removed_handles`` those of upstreams that left the roster. A snapshot
+    is incomplete while a new leader has not heard from all upstreams yet.
     """
 
     announcements: tuple[Announcement, ...]
     handles: tuple[int, ...] = ()
-    gone: tuple[int, ...] = ()
+    removed_handles: tuple[int, ...] = ()
     epoch: int = 0
-    is_whole: bool = True
+    is_snapshot: bool = True
     is_complete: bool = True
 
 
@@ -187,7 +187,7 @@
 class AllotSlots(NamedTuple):
     """Give an entry its parts of the pools that it uses."""
 
-    pools: tuple[PoolPart, ...]
+    pools: tuple[PoolAllotment, ...]
 
 
 class NotLeader(NamedTuple):
--- a/src/sardinemast/shell/_control_stream.py
+++ b/src/sardinemast/shell/_control_stream.py
@@ -57,7 +57,7 @@
             except _STREAM_ERRORS as error:
                 self._report(address, error)
             self._outbox = None
-            self._take(entry.ControlLost())
+            self._take(entry.ControlDisconnected())
             self._controls.append(self._controls.pop(0))
             await asyncio.sleep(_RECONNECT_S)
 
--- a/src/sardinemast/shell/_drain.py
+++ b/src/sardinemast/shell/_drain.py
@@ -44,7 +44,7 @@
 
 
 async def _give_back(entry: Drainable) -> None:
-    entry.core.start_leaving()
+    entry.core.start_returning_grants()
     await _wait_while(entry.core.holds_grants, _RETURN_TIMEOUT_S)
 
 
--- a/src/sardinemast/shell/_entry.py
+++ b/src/sardinemast/shell/_entry.py
@@ -134,7 +134,7 @@
         if self._callers.pop(request_id, None) is not None:
             self._requests.pop(request_id, None)
             self._arrivals.pop(request_id, None)
-            self.loop.put(entry.CallerLeft(request_id))
+            self.loop.put(entry.CallerDisconnected(request_id))
             self._keys.note_left(request_id)
             self.measures.forget(request_id)
 
@@ -166,7 +166,7 @@
         self._arrivals[request_id] = arrival._replace(deadline_s=left_s)
         team = find_team_by_key(state, arrival.key_digest) or ''
         self._keys.claim(
-            idempotency.ClaimWanted(
+            idempotency.ClaimRequested(
                 request_id,
                 digest_parts(team, arrival.pool, key),
                 digest_content(self._requests[request_id]),
@@ -206,7 +206,7 @@
         task.add_done_callback(self._sending.discard)
 
     @_execute.register
-    def _execute_pass(self, output: entry.PassAnswer) -> None:
+    def _execute_pass(self, output: entry.ForwardAnswer) -> None:
         attempt = self._attempts.pop(output.request_id)
         self.identity.recorder.record(
             'answer passed',
--- a/src/sardinemast/shell/_entry_peers.py
+++ b/src/sardinemast/shell/_entry_peers.py
@@ -64,7 +64,7 @@
 
     def claim(
         self,
-        wanted: idempotency.ClaimWanted,
+        wanted: idempotency.ClaimRequested,
         decide: Decide,
     ) -> None:
         """Ask whether a request may run."""
--- a/src/sardinemast/shell/_keyed_desk.py
+++ b/src/sardinemast/shell/_keyed_desk.py
@@ -26,7 +26,7 @@
         self._unsent: set[int] = set()
         self._sent: set[int] = set()
 
-    def claim(self, wanted: idempotency.ClaimWanted) -> None:
+    def claim(self, wanted: idempotency.ClaimRequested) -> None:
         """Run the request when it may, or answer it."""
         self._unsent.add(wanted.request_id)
         self._peers.claim(wanted, self._take_decision)
@@ -61,7 +61,7 @@
         # it is decided when its verdict comes.
         self._forget(request_id)
         released = idempotency.ClaimOutcome.released
-        self._peers.loop.put(idempotency.OutcomeKnown(request_id, released))
+        self._peers.loop.put(idempotency.RequestEnded(request_id, released))
 
     def _forget(self, request_id: int) -> None:
         self._unsent.discard(request_id)
--- a/src/sardinemast/shell/_keyed_requests.py
+++ b/src/sardinemast/shell/_keyed_requests.py
@@ -15,7 +15,7 @@
     ClaimDecided,
     ClaimOutcome,
     ClaimVerdict,
-    OutcomeKnown,
+    RequestEnded,
     StoredAnswer,
 )
 from sardinemast.shell._upstream_client import CallerRequest, UpstreamAnswer
@@ -68,7 +68,7 @@
 def describe_outcome(
     request_id: int,
     answer: UpstreamAnswer | Refusal,
-) -> OutcomeKnown:
+) -> RequestEnded:
     """Give what holders of the key should know of an answer."""
     if isinstance(answer, UpstreamAnswer):
         stored = StoredAnswer(
@@ -77,10 +77,10 @@
             tuple(answer.headers.get_all()),
             answer.body,
         )
-        return OutcomeKnown(request_id, ClaimOutcome.answered, stored)
+        return RequestEnded(request_id, ClaimOutcome.answered, stored)
     if answer.outcome is RunOutcome.not_run:
-        return OutcomeKnown(request_id, ClaimOutcome.released)
-    return OutcomeKnown(request_id, ClaimOutcome.unknown)
+        return RequestEnded(request_id, ClaimOutcome.released)
+    return RequestEnded(request_id, ClaimOutcome.unknown)
 
 
 def answer_resend(decided: ClaimDecided) -> UpstreamAnswer | Refusal:
--- a/tests/admission/test_dispatcher.py
+++ b/tests/admission/test_dispatcher.py
@@ -1,7 +1,7 @@
 """What waits and what may start at one entry."""
 
 from sardinemast.admission import Admitted, Arrival, Dispatcher, Waiting
-from sardinemast.protocol import PoolPart, TeamPart
+from sardinemast.protocol import PoolAllotment, TeamAllotment
 
 _DEADLINE_S = 100
 
@@ -18,8 +18,8 @@
 def test_slots_go_to_teams_by_their_parts() -> None:
     """A team with three times the part gets three times the slots."""
     dispatcher = Dispatcher()
-    parts = (TeamPart('large', 6), TeamPart('small', 2))
-    dispatcher.replace_parts((PoolPart('pool', 8, parts),))
+    parts = (TeamAllotment('large', 6), TeamAllotment('small', 2))
+    dispatcher.replace_parts((PoolAllotment('pool', 8, parts),))
     for number in range(4):
         _take(dispatcher, number, team='other')
         dispatcher.end(_start(dispatcher, slots=1), None, number + 1)
--- a/tests/builders/claims.py
+++ b/tests/builders/claims.py
@@ -4,13 +4,13 @@
 
 from sardinemast.idempotency import (
     ClaimDecided,
-    ClaimWanted,
+    ClaimRequested,
     IdempotencyCore,
     IdempotencyEvent,
     Member,
-    OutcomeKnown,
     PeerMessage,
     PeerReceived,
+    RequestEnded,
     SendToPeer,
     Tick,
     View,
@@ -81,10 +81,10 @@
         """Let an entry claim a key, and give the request's id."""
         self.last_request += 1
         request_id = self.last_request
-        self.feed(name, ClaimWanted(request_id, key, content, BOUND_S))
+        self.feed(name, ClaimRequested(request_id, key, content, BOUND_S))
         return request_id
 
-    def end(self, name: str, known: OutcomeKnown) -> None:
+    def end(self, name: str, known: RequestEnded) -> None:
         """Tell how a granted request ended."""
         self.feed(name, known)
 
--- a/tests/builders/operators.py
+++ b/tests/builders/operators.py
@@ -159,7 +159,7 @@
         if process.stream_id is not None:
             stream_id = process.stream_id
             process.stream_id = None
-            process.step(entry.ControlLost(), self.now_s)
+            process.step(entry.ControlDisconnected(), self.now_s)
             self.step_leader(control.EntryDisconnected(stream_id))
 
     def replace_leader(self) -> None:
--- a/tests/builders/teams.py
+++ b/tests/builders/teams.py
@@ -139,7 +139,7 @@
         message = self.stream.down.popleft()
         if isinstance(message, NotLeader):
             self.stream = None
-            return self.step(entry.ControlLost(), now_s)
+            return self.step(entry.ControlDisconnected(), now_s)
         return self.step(entry.ControlReceived(message), now_s)
 
 
--- a/tests/entry/test_limits_fuzz.py
+++ b/tests/entry/test_limits_fuzz.py
@@ -117,7 +117,7 @@
         """Let a caller go."""
         node = self.nodes[choice % len(self.nodes)]
         if not node.is_frozen:
-            self._act(node, entry.CallerLeft(choice))
+            self._act(node, entry.CallerDisconnected(choice))
 
     @rule(time_s=st.sampled_from((0.02, 0.3, 1.0, 3.0)))
     def wait(self, time_s: float) -> None:
@@ -340,7 +340,7 @@
         for output in outputs:
             if isinstance(output, entry.StartAttempt):
                 self._start(node, output)
-            elif isinstance(output, entry.PassAnswer | entry.RefuseRequest):
+            elif isinstance(output, entry.ForwardAnswer | entry.RefuseRequest):
                 self._finish(node, output)
 
     def _start(self, node: Node, attempt: entry.StartAttempt) -> None:
@@ -363,7 +363,7 @@
     def _finish(
         self,
         node: Node,
-        output: entry.PassAnswer | entry.RefuseRequest,
+        output: entry.ForwardAnswer | entry.RefuseRequest,
     ) -> None:
         place = self._get_id(node, output.request_id)
         assert place not in self.final, 'answered twice'
--- a/tests/grants/test_holder.py
+++ b/tests/grants/test_holder.py
@@ -52,7 +52,7 @@
     """
     state = _make_state(3)
     holder = GrantHolder('entry-1', 1)
-    holder.start_leaving()
+    holder.start_returning_grants()
     returns = holder.make_returns(state, lambda team: 1)
     assert [returned.amount for returned in returns] == [1]
 
--- a/tests/grants/test_releases.py
+++ b/tests/grants/test_releases.py
@@ -7,7 +7,7 @@
     make_setup_commands,
 )
 from sardinemast import control
-from sardinemast.grants import RunBounds
+from sardinemast.grants import RunBoundTracker
 from sardinemast.protocol import LeaseGranted, RenewLease, TeamDemand
 
 _WISH = (TeamDemand(TEAM, 1, 0),)
@@ -57,10 +57,10 @@
     What it had started runs on by the former bound; a release by the new
     one would let other entries start the team's work beside it.
     """
-    bounds = RunBounds(lease_s=3)
-    bounds.note_document(make_limit_document(1, run_bound_s=30))
-    bounds.get_longest_s(0)
-    bounds.note_document(make_limit_document(1, run_bound_s=2))
-    assert bounds.get_longest_s(10) == 30
-    assert bounds.get_longest_s(42) == 30
-    assert bounds.get_longest_s(43.1) == 2
+    bounds = RunBoundTracker(lease_s=3)
+    bounds.record_document(make_limit_document(1, run_bound_s=30))
+    bounds.get_longest_run_s(0)
+    bounds.record_document(make_limit_document(1, run_bound_s=2))
+    assert bounds.get_longest_run_s(10) == 30
+    assert bounds.get_longest_run_s(42) == 30
+    assert bounds.get_longest_run_s(43.1) == 2
--- a/tests/grants/test_shares.py
+++ b/tests/grants/test_shares.py
@@ -6,11 +6,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sardinemast.grants import PoolShares, TeamTerms, split_max_min
+from sardinemast.grants import PoolShares, TeamQuota, split_max_min
 from sardinemast.protocol import PoolUse, TeamUse
 
 _TERMS = MappingProxyType(
-    {'a': TeamTerms(1, 99), 'b': TeamTerms(1, 99), 'c': TeamTerms(2, 4)}
+    {'a': TeamQuota(1, 99), 'b': TeamQuota(1, 99), 'c': TeamQuota(2, 4)}
 )
 
 
@@ -43,8 +43,8 @@
 def test_slots_follow_demand_and_never_pass_the_pool() -> None:
     """Callers that all come to one entry find the slots there."""
     shares = PoolShares('pool')
-    shares.take_use('entry-1', _use('a', waiting=50, running=3))
-    shares.take_use('entry-2', _use('b', waiting=0, running=1))
+    shares.record_use('entry-1', _use('a', waiting=50, running=3))
+    shares.record_use('entry-2', _use('b', waiting=0, running=1))
     parts = shares.plan(_TERMS, ('entry-1', 'entry-2', 'entry-3'), 1)
     slots = {entry: part.slots for entry, part in parts.items()}
     assert sum(slots.values()) == 8
@@ -55,8 +55,8 @@
     """What a team misses in one moment it gets in the next."""
     shares = PoolShares('pool')
     for moment in range(3):
-        shares.take_use('entry-1', _use('a', 9, 6, used_s=6.0 * moment))
-        shares.take_use('entry-2', _use('b', 9, 2, used_s=2.0 * moment))
+        shares.record_use('entry-1', _use('a', 9, 6, used_s=6.0 * moment))
+        shares.record_use('entry-2', _use('b', 9, 2, used_s=2.0 * moment))
         parts = shares.plan(_TERMS, ('entry-1', 'entry-2'), moment)
     assert parts['entry-2'].teams[0].slots > parts['entry-1'].teams[0].slots
 
@@ -64,8 +64,8 @@
 def test_limit_of_a_team_bounds_its_part() -> None:
     """Slots that a team may not use by its limit go to the others."""
     shares = PoolShares('pool')
-    shares.take_use('entry-1', _use('a', 20, 0))
-    shares.take_use('entry-2', _use('c', 20, 0))
+    shares.record_use('entry-1', _use('a', 20, 0))
+    shares.record_use('entry-2', _use('c', 20, 0))
     parts = shares.plan(_TERMS, ('entry-1', 'entry-2'), 1)
     assert parts['entry-2'].teams[0].slots == pytest.approx(4)
 
--- a/tests/grants/test_splitter.py
+++ b/tests/grants/test_splitter.py
@@ -1,18 +1,18 @@
 """Splitting a team's limit over entries."""
 
-from sardinemast.grants import ROTATION_S, EntryNeed, plan_split
+from sardinemast.grants import ROTATION_INTERVAL_S, EntryDemand, plan_grants
 
 
 def test_free_units_go_to_the_longest_waiting() -> None:
     """Whoever waits longest gets the unit that is free."""
     early, late = _need('entry-2', 0, 1, 1), _need('entry-1', 0, 1, 2)
-    assert plan_split((late, early), 1, now_s=9).raises == ((early, 1),)
+    assert plan_grants((late, early), 1, now_s=9).raises == ((early, 1),)
 
 
 def test_idle_units_are_asked_back_before_used_ones() -> None:
     """A unit that nobody uses moves before one in use."""
     idle, busy = _need('entry-1', 2, 1), _need('entry-2', 3, 9)
-    split = plan_split((idle, busy, _need('entry-3', 0, 1)), 0, now_s=9)
+    split = plan_grants((idle, busy, _need('entry-3', 0, 1)), 0, now_s=9)
     assert split.recalls == ((idle, 1),)
 
 
@@ -25,35 +25,37 @@
     """
     holder, starved = _need('entry-1', 1, 5), _need('entry-2', 0, 5)
     needs = (holder, starved)
-    assert not plan_split(needs, 0, now_s=ROTATION_S / 2).recalls
-    assert plan_split(needs, 0, now_s=ROTATION_S).recalls == ((holder, 0),)
+    assert not plan_grants(needs, 0, now_s=ROTATION_INTERVAL_S / 2).recalls
+    assert plan_grants(needs, 0, now_s=ROTATION_INTERVAL_S).recalls == (
+        (holder, 0),
+    )
 
 
 def test_recall_under_way_is_not_repeated() -> None:
     """Units that are on their way back are counted."""
-    giver = _need('entry-1', 2, 0)._replace(kept=1)
-    split = plan_split((giver, _need('entry-2', 0, 1)), 0, now_s=9)
+    giver = _need('entry-1', 2, 0)._replace(retained=1)
+    split = plan_grants((giver, _need('entry-2', 0, 1)), 0, now_s=9)
     assert split.recalls == ()
 
 
 def test_exceeded_limit_raises_nobody() -> None:
     """Nothing is given while a lowered limit is exceeded."""
-    assert not plan_split((_need('entry-1', 0, 1),), -2, now_s=9).raises
+    assert not plan_grants((_need('entry-1', 0, 1),), -2, now_s=9).raises
 
 
 def _need(
     entry: str,
     held: int,
     wanted: int,
-    waiting_s: float = 0,
-) -> EntryNeed:
-    return EntryNeed(
+    waiting_since_s: float = 0,
+) -> EntryDemand:
+    return EntryDemand(
         entry=entry,
         incarnation=1,
         held=held,
-        kept=held,
+        retained=held,
         wanted=wanted,
         is_settled=True,
-        raised_s=0,
-        waiting_s=waiting_s,
+        raised_at_s=0,
+        waiting_since_s=waiting_since_s,
     )
--- a/tests/idempotency/test_claims.py
+++ b/tests/idempotency/test_claims.py
@@ -4,10 +4,10 @@
 
 from builders.claims import BOUND_S, NAMES, Entries
 from sardinemast.idempotency import (
-    RETAIN_S,
+    RETENTION_S,
     ClaimOutcome,
     ClaimVerdict,
-    OutcomeKnown,
+    RequestEnded,
     StoredAnswer,
 )
 
@@ -45,7 +45,7 @@
 def test_resend_gets_the_stored_answer(entries: Entries, key: bytes) -> None:
     """A caller sends a booking again through another entry."""
     request_id = _grant(entries, 'entry-1', key)
-    known = OutcomeKnown(request_id, ClaimOutcome.answered, _ANSWER)
+    known = RequestEnded(request_id, ClaimOutcome.answered, _ANSWER)
     entries.end('entry-1', known)
     entries.settle()
     assert _ask(entries, 'entry-2', key) is ClaimVerdict.answered
@@ -83,7 +83,7 @@
 def test_what_was_not_sent_may_run(entries: Entries, key: bytes) -> None:
     """A request that was refused before it left frees its key."""
     request_id = _grant(entries, 'entry-1', key)
-    entries.end('entry-1', OutcomeKnown(request_id, ClaimOutcome.released))
+    entries.end('entry-1', RequestEnded(request_id, ClaimOutcome.released))
     entries.settle()
     assert _ask(entries, 'entry-4', key) is ClaimVerdict.granted
 
@@ -108,7 +108,7 @@
     for name in NAMES:
         entries.catch_up(name)
     assert _ask(entries, 'entry-2', key) is ClaimVerdict.unavailable
-    entries.now_s += RETAIN_S
+    entries.now_s += RETENTION_S
     assert _ask(entries, 'entry-2', key) is ClaimVerdict.granted
 
 
@@ -126,7 +126,7 @@
     have forgotten them and let another one run.
     """
     request_id = entries.claim('entry-1', b'key')
-    entries.now_s += RETAIN_S
+    entries.now_s += RETENTION_S
     entries.settle()
     verdict = entries.decided[request_id].verdict
     assert verdict is ClaimVerdict.unavailable
@@ -145,7 +145,7 @@
     must still get the answer that the others hold.
     """
     request_id = _grant(entries, 'entry-1', key)
-    known = OutcomeKnown(request_id, ClaimOutcome.answered, _ANSWER)
+    known = RequestEnded(request_id, ClaimOutcome.answered, _ANSWER)
     entries.end('entry-1', known)
     entries.bag = [one for one in entries.bag if one.to != name]
     entries.settle()
--- a/tests/idempotency/test_claims_fuzz.py
+++ b/tests/idempotency/test_claims_fuzz.py
@@ -8,11 +8,11 @@
 from builders.claims import NAMES, Entries
 from sardinemast.idempotency import (
     CLAIM_TIMEOUT_S,
-    RETAIN_S,
+    RETENTION_S,
     ClaimDecided,
     ClaimOutcome,
     ClaimVerdict,
-    OutcomeKnown,
+    RequestEnded,
     Tick,
 )
 
@@ -91,7 +91,7 @@
             name, key = self._granted.pop(request_id)
             if outcome is ClaimOutcome.released:
                 self._run_s.pop(key)
-            self._entries.end(name, OutcomeKnown(request_id, outcome))
+            self._entries.end(name, RequestEnded(request_id, outcome))
             self._check()
 
     @rule(choices=st.lists(_ANY, min_size=1, max_size=12))
@@ -128,7 +128,7 @@
             self._check()
 
     @rule(
-        passed_s=st.sampled_from((0.11, 0.11, 1.0, 31.0, RETAIN_S)),
+        passed_s=st.sampled_from((0.11, 0.11, 1.0, 31.0, RETENTION_S)),
         names=st.sets(_NAME),
     )
     def pass_time(self, passed_s: float, names: set[str]) -> None:
@@ -160,7 +160,7 @@
         name, key = self._keys.pop(request_id)
         if decided.verdict is ClaimVerdict.granted:
             earlier_s = self._run_s.get(key, float('-inf'))
-            retained_s = RETAIN_S - CLAIM_TIMEOUT_S
+            retained_s = RETENTION_S - CLAIM_TIMEOUT_S
             assert self._entries.now_s >= earlier_s + retained_s
             self._run_s[key] = self._entries.now_s
             self._granted[request_id] = (name, key)
--- a/tests/idempotency/test_moved_memory.py
+++ b/tests/idempotency/test_moved_memory.py
@@ -2,7 +2,7 @@
 
 from builders.claims import NAMES, Entries
 from sardinemast.idempotency import ClaimVerdict, Tick
-from sardinemast.idempotency._ring import get_holders
+from sardinemast.idempotency._rendezvous import get_holders
 
 _KEYS = tuple(b'key-%d' % number for number in range(99))
 _KEY = next(key for key in _KEYS if 'entry-4' not in get_holders(key, NAMES))
--- a/tests/routing/test_attempts_fuzz.py
+++ b/tests/routing/test_attempts_fuzz.py
@@ -116,7 +116,7 @@
         if present:
             request_id = present[choice % len(present)]
             self._left.add(request_id)
-            self._step(entry.CallerLeft(request_id))
+            self._step(entry.CallerDisconnected(request_id))
 
     @rule(
         number=_INSTANCES,
@@ -178,7 +178,7 @@
                 self._check_start(output)
             elif isinstance(output, entry.RefuseRequest):
                 self._check_refusal(output)
-            elif isinstance(output, entry.PassAnswer):
+            elif isinstance(output, entry.ForwardAnswer):
                 assert self._sent[output.request_id]
                 self._conclude(output.request_id)
 
