--- a/src/sardinemast/fleet/__init__.py
+++ b/src/sardinemast/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Replicated state: sites, pools, teams, keys, limits, instances, grants."""
+"""Replicated state of the fleet and the commands that change it."""
 
 from sardinemast.fleet._diff import (
     DocumentChange,
@@ -56,9 +56,9 @@
     describe_state,
     diff_versions,
     find_team_by_key,
-    get_free_limit,
     get_grants,
     get_pool,
+    get_remaining_limit,
 )
 from sardinemast.fleet.utils import digest_key
 
@@ -105,7 +105,7 @@
     'dump_for_entry',
     'dump_state',
     'find_team_by_key',
-    'get_free_limit',
+    'get_remaining_limit',
     'get_grants',
     'get_pool',
     'is_known_command',
--- a/src/sardinemast/fleet/_diff.py
+++ b/src/sardinemast/fleet/_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two documents, and what is wrong with one."""
+"""Differences between documents, and findings about one."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
@@ -9,7 +9,7 @@
 
 
 class DocumentChange(NamedTuple):
-    """Hold one field that differs; an empty text stands for nothing."""
+    """Describe a changed field; an empty value means that it is absent."""
 
     path: str
     before: str
@@ -17,7 +17,7 @@
 
 
 class DocumentFinding(NamedTuple):
-    """Hold one mistake of a document and where it is."""
+    """Describe an error at a path of a document."""
 
     code: str
     path: str
@@ -28,13 +28,13 @@
     before: FleetDocument,
     after: FleetDocument,
 ) -> tuple[DocumentChange, ...]:
-    """Give all fields that differ, in the order of their paths."""
-    old = dict(_flatten('', before._asdict()))
-    new = dict(_flatten('', after._asdict()))
+    """Return all fields that differ, sorted by path."""
+    old_fields = dict(_flatten('', before._asdict()))
+    new_fields = dict(_flatten('', after._asdict()))
     return tuple(
-        DocumentChange(path, old.get(path, ''), new.get(path, ''))
-        for path in sorted(old.keys() | new.keys())
-        if old.get(path) != new.get(path)
+        DocumentChange(path, old_fields.get(path, ''), new_fields.get(path, ''))
+        for path in sorted(old_fields.keys() | new_fields.keys())
+        if old_fields.get(path) != new_fields.get(path)
     )
 
 
--- a/src/sardinemast/fleet/_document_checks.py
+++ b/src/sardinemast/fleet/_document_checks.py
@@ -1,4 +1,4 @@
-"""Check of a whole document against itself and against the state."""
+"""Validate a document by itself and against the state."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -12,7 +12,7 @@
     state: FleetState,
     document: FleetDocument,
 ) -> tuple[DocumentFinding, ...]:
-    """Give all findings, at most ``MAX_CHANGES`` of them."""
+    """Return the findings, at most ``MAX_CHANGES`` of them."""
     findings = (
         *_check_names(document),
         *_check_values(document),
@@ -39,24 +39,24 @@
                 yield DocumentFinding(
                     'fleet.E011',
                     f'{group}.{name}',
-                    f'The record is named {record.name!r}.',
+                    f'The name {record.name!r} is empty or not its key.',
                 )
 
 
 def _check_values(document: FleetDocument) -> Iterable[DocumentFinding]:
     for team in document.teams.values():
-        if not _is_sound_team(team):
+        if not _is_valid_team(team):
             yield DocumentFinding(
                 'fleet.E012',
                 f'teams.{team.name}',
-                'A share is above 0, and a limit at least 0.',
+                'The share must be greater than 0, the limit at least 0.',
             )
-    for path, pool in _list_pools(document):
-        if not _is_sound_pool(pool):
+    for path, pool in _iterate_pools(document):
+        if not _is_valid_pool(pool):
             yield DocumentFinding(
                 'fleet.E013',
                 path,
-                'Slots, connections and times are above 0, '
+                'Slots, connections and times must be greater than 0, '
                 'limits and budgets at least 0.',
             )
 
@@ -67,13 +67,13 @@
             yield DocumentFinding(
                 'fleet.E014',
                 f'site_pools.{site}',
-                f'No site {site!r}.',
+                f'Site {site!r} does not exist.',
             )
         for name in pools.keys() - document.pools.keys():
             yield DocumentFinding(
                 'fleet.E015',
                 f'site_pools.{site}.{name}',
-                f'No pool {name!r}.',
+                f'Pool {name!r} does not exist.',
             )
 
 
@@ -103,7 +103,7 @@
             )
 
 
-def _list_pools(document: FleetDocument) -> Iterable[tuple[str, Pool]]:
+def _iterate_pools(document: FleetDocument) -> Iterable[tuple[str, Pool]]:
     for pool in document.pools.values():
         yield f'pools.{pool.name}', pool
     for site, pools in document.site_pools.items():
@@ -111,11 +111,11 @@
             yield f'site_pools.{site}.{pool.name}', pool
 
 
-def _is_sound_team(team: Team) -> bool:
+def _is_valid_team(team: Team) -> bool:
     return team.share > 0 and team.limit >= 0
 
 
-def _is_sound_pool(pool: Pool) -> bool:
+def _is_valid_pool(pool: Pool) -> bool:
     positive = (
         pool.slots,
         pool.connections,
--- a/src/sardinemast/fleet/_documents.py
+++ b/src/sardinemast/fleet/_documents.py
@@ -1,11 +1,11 @@
-"""What operators declare, as checked records."""
+"""Records that operators declare in files."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
 
 class Site(NamedTuple):
-    """Name one data centre and the region it is in."""
+    """Declare a data centre and its region."""
 
     name: str
     region: str
@@ -14,8 +14,8 @@
 class Pool(NamedTuple):
     """Declare a pool of instances that serve one service.
 
-    ``run_bound_s`` is the longest time that a request may run at an
-    upstream; ``budget_down`` is how many instances may be down at once.
+    ``run_bound_s`` limits how long a request may run at an upstream,
+    ``budget_down`` how many instances may be down at once.
     """
 
     name: str
@@ -28,7 +28,7 @@
 
 
 class Team(NamedTuple):
-    """Declare a team, its share of a full fleet and its upper limit."""
+    """Declare a team, its share of a full fleet and its limit."""
 
     name: str
     share: float = 1
@@ -38,7 +38,7 @@
 class FleetDocument(NamedTuple):
     """Hold everything that operators declare in files.
 
-    ``site_pools`` holds, by site, the pools as that site's overlay has them.
+    ``site_pools`` maps a site to the pools as changed by its overlay.
     """
 
     sites: Mapping[str, Site]
--- a/src/sardinemast/fleet/_entry_commands.py
+++ b/src/sardinemast/fleet/_entry_commands.py
@@ -8,10 +8,10 @@
 
 
 class RegisterEntry(NamedTuple):
-    """Note an entry process that asks for a lease and for grants.
+    """Register an entry process that requests a lease and grants.
 
-    From then on only this incarnation gets leases. The one before it may
-    still have one, so it is kept until ``RetireEntry``.
+    Only the registered incarnation gets leases from then on. The previous one
+    may still have a lease, so it is kept until ``RetireEntry``.
     """
 
     name: str
@@ -21,7 +21,7 @@
 
 
 class RetireEntry(NamedTuple):
-    """Forget an incarnation that surely has no lease any more."""
+    """Remove an incarnation whose leases have all expired."""
 
     name: str
     incarnation: int
@@ -45,7 +45,8 @@
         command.port,
         state.log_index,
     )
-    # A run whose lease nobody asks about before a reboot would lose its work.
+    # Before a reboot, maintenance asks each known run of an entry whether it
+    # still has work on the instance.
     run = EntryRun(command.name, command.incarnation)
     state.subsystems.maintenance.entry_runs[run] = state.log_index
     state.entries[command.name] = registered
--- a/src/sardinemast/fleet/_entry_updates.py
+++ b/src/sardinemast/fleet/_entry_updates.py
@@ -1,4 +1,4 @@
-"""What an entry is sent of the state, and how it follows the log."""
+"""Parts of the state and of the log that are sent to entries."""
 
 from typing import NamedTuple
 
@@ -24,10 +24,10 @@
 
 
 class EntryUpdate(NamedTuple):
-    """Hold what a command changes at all entries and at single ones.
+    """Hold what entries are sent about an applied command.
 
-    ``payload`` goes to every entry. ``grants_by_holder`` holds, by entry and
-    incarnation, a payload that goes to this one besides.
+    ``payload`` is sent to every entry. ``payload_by_holder`` maps an entry and
+    incarnation to a further payload that only this one is sent.
     """
 
     log_index: int
@@ -40,9 +40,9 @@
     entry: str,
     incarnation: int,
 ) -> FleetImage:
-    """Give what an entry needs of the state.
+    """Return the parts of the state that an entry needs.
 
-    It needs the other entries too: they hold idempotency keys together.
+    These include the other entries, with which it stores idempotency keys.
     """
     grants = tuple(
         grant
@@ -63,10 +63,10 @@
     command: Command,
     index: int,
 ) -> EntryUpdate:
-    """Give what entries are sent after the accepted command was applied.
+    """Return what entries are sent about an applied command.
 
-    An entry has neither the remembered commands nor the history nor other
-    entries' grants. A command that depends on them is sent as its result.
+    Entries have no recent commands, no history and no grants of others.
+    Commands that depend on these are sent as their result.
     """
     if isinstance(command, ChangeGrants):
         teams = {change.team for change in command.changes}
@@ -74,7 +74,7 @@
         return EntryUpdate(
             index,
             COMMANDS.encode(NoteTotals(totals)),
-            _split_grants(state, command),
+            _encode_grants_by_holder(state, command),
         )
     if isinstance(command, AdvanceTime | placement.Command | jobs.Command):
         return EntryUpdate(index, b'', {})
@@ -88,20 +88,22 @@
     command: Command,
     index: int,
 ) -> Outcome:
-    """Follow a command that the log has accepted."""
+    """Apply a command that an entry was sent."""
     state.log_index = index
     return execute_command(command, state)
 
 
-def _split_grants(
+def _encode_grants_by_holder(
     state: FleetState,
     command: ChangeGrants,
 ) -> dict[tuple[str, int], bytes]:
     changed: dict[tuple[str, int], list[Grant]] = {}
     for change in command.changes:
-        place = (change.entry, change.incarnation, change.team)
-        grant = state.grants.get(place, Grant(*place, 0, state.log_index))
-        changed.setdefault(place[:2], []).append(grant)
+        grant_key = (change.entry, change.incarnation, change.team)
+        grant = state.grants.get(
+            grant_key, Grant(*grant_key, 0, state.log_index)
+        )
+        changed.setdefault(grant_key[:2], []).append(grant)
     return {
         holder: COMMANDS.encode(HoldGrants(tuple(grants)))
         for holder, grants in changed.items()
--- a/src/sardinemast/fleet/_execution.py
+++ b/src/sardinemast/fleet/_execution.py
@@ -1,4 +1,4 @@
-"""Way from a command to the function that carries it out."""
+"""Registry of the functions that execute commands."""
 
 from functools import singledispatch
 from typing import Any
@@ -8,15 +8,15 @@
 
 @singledispatch
 def execute_command(command: Any, state: FleetState) -> Outcome:
-    """Change the state by the command; each command registers its own."""
+    """Execute a command; each command class registers its function."""
     raise TypeError(type(command))
 
 
 def accept(state: FleetState) -> Outcome:
-    """Answer that the command is carried out."""
+    """Return the outcome of an executed command."""
     return Outcome(is_accepted=True, version=state.version)
 
 
 def refuse(state: FleetState, code: str, text: str) -> Outcome:
-    """Answer that the command changed nothing."""
+    """Return the outcome of a command that is refused."""
     return Outcome(False, state.version, code, text)
--- a/src/sardinemast/fleet/_grant_commands.py
+++ b/src/sardinemast/fleet/_grant_commands.py
@@ -5,11 +5,11 @@
 
 from sardinemast.fleet._execution import accept, execute_command
 from sardinemast.fleet._state import FleetState, Grant, Outcome
-from sardinemast.fleet.queries import get_free_limit
+from sardinemast.fleet.queries import get_remaining_limit
 
 
 class GrantChange(NamedTuple):
-    """Set what one entry incarnation may have running for a team."""
+    """Set how many requests of a team an entry incarnation may run."""
 
     entry: str
     incarnation: int
@@ -18,67 +18,70 @@
 
 
 class ChangeGrants(NamedTuple):
-    """Change several grants at one index."""
+    """Change several grants at one log index."""
 
     changes: tuple[GrantChange, ...]
 
 
 class HoldGrants(NamedTuple):
-    """Tell an entry what it holds now; an amount of 0 is none.
+    """Tell an entry its current grants; an amount of 0 removes one.
 
-    Only the leader sends this, as the result of a change in the log.
+    The leader sends this to the entry in place of ``ChangeGrants``.
     """
 
     grants: tuple[Grant, ...]
 
 
 class NoteTotals(NamedTuple):
-    """Tell all entries how much of teams' limits is granted in all.
+    """Tell all entries the sum of the grants of each changed team.
 
-    Only the leader sends this, as the result of a change in the log. After a
-    limit went down, an entry whose own grants are within it must know that
-    others hold the rest, or together they start more than the limit.
+    The leader sends this to entries in place of ``ChangeGrants``. After a
+    limit was lowered, an entry needs the sum to see that the grants exceed
+    the limit, even if its own grants do not.
     """
 
     totals: Mapping[str, int]
 
 
 @execute_command.register
-def _note_totals(command: NoteTotals, state: FleetState) -> Outcome:
+def _apply_totals(command: NoteTotals, state: FleetState) -> Outcome:
     state.granted_totals.update(command.totals)
     return accept(state)
 
 
 @execute_command.register
-def _hold_grants(command: HoldGrants, state: FleetState) -> Outcome:
+def _apply_held_grants(command: HoldGrants, state: FleetState) -> Outcome:
     for grant in command.grants:
-        place = (grant.entry, grant.incarnation, grant.team)
+        grant_key = (grant.entry, grant.incarnation, grant.team)
         if grant.amount > 0:
-            state.grants[place] = grant
+            state.grants[grant_key] = grant
         else:
-            state.grants.pop(place, None)
+            state.grants.pop(grant_key, None)
     return accept(state)
 
 
 @execute_command.register
-def _apply_grants(command: ChangeGrants, state: FleetState) -> Outcome:
+def _apply_grant_changes(command: ChangeGrants, state: FleetState) -> Outcome:
     for change in command.changes:
         _change_grant(state, change)
     return accept(state)
 
 
 def _change_grant(state: FleetState, change: GrantChange) -> None:
-    place = (change.entry, change.incarnation, change.team)
-    known = state.grants.get(place)
-    held = known.amount if known else 0
-    # The leader splits by the state it has; a command of a former leader may
-    # be applied after the limit went down. Raising past the limit here would
-    # let a team run more than it may, so the raise is cut to what is free.
-    free = max(0, get_free_limit(state, change.team))
-    amount = min(change.amount, held + free)
+    grant_key = (change.entry, change.incarnation, change.team)
+    current_grant = state.grants.get(grant_key)
+    current_amount = current_grant.amount if current_grant else 0
+    # The leader may have planned this change by an older state, before the
+    # limit was lowered. Cap it so that the sum of grants stays in the limit.
+    remaining = max(0, get_remaining_limit(state, change.team))
+    amount = min(change.amount, current_amount + remaining)
     if amount > 0:
-        state.grants[place] = Grant(*place, amount, state.log_index)
+        state.grants[grant_key] = Grant(*grant_key, amount, state.log_index)
     else:
-        state.grants.pop(place, None)
-    total = state.granted_totals.get(change.team, 0) + max(amount, 0) - held
+        state.grants.pop(grant_key, None)
+    total = (
+        state.granted_totals.get(change.team, 0)
+        + max(amount, 0)
+        - current_amount
+    )
     state.granted_totals[change.team] = total
--- a/src/sardinemast/fleet/_instance_commands.py
+++ b/src/sardinemast/fleet/_instance_commands.py
@@ -1,4 +1,4 @@
-"""Commands about instances that announce themselves."""
+"""Command that registers instances that announce themselves."""
 
 from typing import NamedTuple
 
@@ -9,10 +9,10 @@
 
 
 class RegisterInstances(NamedTuple):
-    """Put instances that the log does not know into the pools they announce.
+    """Add unknown instances to the pools that they announce.
 
-    Unlike ``AssignInstance`` it moves nothing: an operator may have assigned
-    the instance while this was under way, and that must stand.
+    Known instances keep their pool: an operator may have assigned one since
+    this command was proposed.
     """
 
     instances: tuple[Instance, ...]
--- a/src/sardinemast/fleet/_operator_commands.py
+++ b/src/sardinemast/fleet/_operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands of operators; each carries an id, so that a resend is known."""
+"""Commands of operators, with ids by which resends are recognised."""
 
 from typing import NamedTuple
 
@@ -11,14 +11,17 @@
 from sardinemast.fleet._documents import FleetDocument
 from sardinemast.fleet._execution import accept, execute_command, refuse
 from sardinemast.fleet._state import FleetState, Instance, KeyRecord, Outcome
-from sardinemast.fleet._time_commands import get_version_document, keep_version
+from sardinemast.fleet._time_commands import (
+    get_version_document,
+    record_version,
+)
 from sardinemast.maintenance import forget_instance, reassign_instance
 
 MAX_KEYS = 50_000
 
 
 class ApplyDocument(NamedTuple):
-    """Put a whole document in place of the one of ``based_on``."""
+    """Replace the document of version ``based_on``."""
 
     command_id: str
     based_on: int
@@ -26,7 +29,7 @@
 
 
 class RestoreVersion(NamedTuple):
-    """Put the document of an earlier version in place, as a new version."""
+    """Restore the document of an earlier version as a new version."""
 
     command_id: str
     based_on: int
@@ -34,7 +37,7 @@
 
 
 class GrantKey(NamedTuple):
-    """Let whoever presents the key work for the team."""
+    """Let callers with the key make requests for the team."""
 
     command_id: str
     key_id: str
@@ -42,19 +45,19 @@
     digest: bytes
 
     def __repr__(self) -> str:
-        """Leave the digest out, so that no log or error shows it."""
+        """Omit the digest, to keep it out of logs and errors."""
         return f'GrantKey({self.command_id!r}, {self.key_id!r}, {self.team!r})'
 
 
 class WithdrawKey(NamedTuple):
-    """Stop a key from working."""
+    """Revoke a key."""
 
     command_id: str
     key_id: str
 
 
 class AssignInstance(NamedTuple):
-    """Put an instance into a pool; it leaves the one it was in."""
+    """Assign an instance to a pool, in place of its current one."""
 
     command_id: str
     instance: str
@@ -62,7 +65,7 @@
 
 
 class ForgetInstance(NamedTuple):
-    """Take an instance that is gone for good out of its pool."""
+    """Remove an instance that is gone for good."""
 
     command_id: str
     instance: str
@@ -90,7 +93,7 @@
         return refuse(
             state,
             'fleet.E007',
-            f'Version {command.version} is not kept.',
+            f'Version {command.version} is not in the history.',
         )
     return _replace_document(command, document, state)
 
@@ -101,24 +104,24 @@
     state: FleetState,
 ) -> Outcome:
     if command.based_on != state.version:
-        return _refuse_loser(command.based_on, state)
+        return _refuse_stale(command.based_on, state)
     findings = check_document(state, document)
     if findings:
         refusal = refuse(
             state,
             'fleet.E010',
-            f'The document has {len(findings)} mistakes.',
+            f'The document has {len(findings)} errors.',
         )
         return refusal._replace(findings=findings)
     state.document = document
     state.version += 1
-    keep_version(state, command.command_id)
+    record_version(state, command.command_id)
     return accept(state)
 
 
-def _refuse_loser(based_on: int, state: FleetState) -> Outcome:
-    # Two operators start from the same version. The second must see what the
-    # first changed, or it would put the old values back with its next try.
+def _refuse_stale(based_on: int, state: FleetState) -> Outcome:
+    # Of two operators who change the same version, the second must see what
+    # the first changed. Otherwise its next attempt would undo the change.
     changes: tuple[DocumentChange, ...] = ()
     base = get_version_document(state, based_on)
     if base is not None:
@@ -126,8 +129,8 @@
     refusal = refuse(
         state,
         'fleet.E002',
-        f'Based on version {based_on}, but version '
-        f'{state.version} is in place; {len(changes)} fields differ.',
+        f'The change is based on version {based_on}, but the current version '
+        f'is {state.version}; {len(changes)} fields differ.',
     )
     return refusal._replace(changes=changes[:MAX_CHANGES])
 
@@ -135,14 +138,20 @@
 @execute_command.register
 def _grant_key(command: GrantKey, state: FleetState) -> Outcome:
     if command.team not in state.document.teams:
-        return refuse(state, 'fleet.E003', f'No team {command.team!r}.')
+        return refuse(
+            state, 'fleet.E003', f'Team {command.team!r} does not exist.'
+        )
     if (
         command.key_id in state.keys_by_id
         or command.digest in state.keys_by_digest
     ):
-        return refuse(state, 'fleet.E004', f'Key {command.key_id!r} exists.')
+        return refuse(
+            state, 'fleet.E004', f'Key {command.key_id!r} already exists.'
+        )
     if len(state.keys_by_id) >= MAX_KEYS:
-        return refuse(state, 'fleet.E008', f'There are {MAX_KEYS} keys.')
+        return refuse(
+            state, 'fleet.E008', f'The limit of {MAX_KEYS} keys is reached.'
+        )
     record = KeyRecord(command.key_id, command.team, command.digest)
     state.keys_by_id[record.key_id] = record
     state.keys_by_digest[record.digest] = record
@@ -153,7 +162,9 @@
 def _withdraw_key(command: WithdrawKey, state: FleetState) -> Outcome:
     record = state.keys_by_id.pop(command.key_id, None)
     if record is None:
-        return refuse(state, 'fleet.E005', f'No key {command.key_id!r}.')
+        return refuse(
+            state, 'fleet.E005', f'Key {command.key_id!r} does not exist.'
+        )
     state.keys_by_digest.pop(record.digest)
     return accept(state)
 
@@ -161,7 +172,9 @@
 @execute_command.register
 def _assign_instance(command: AssignInstance, state: FleetState) -> Outcome:
     if command.pool not in state.document.pools:
-        return refuse(state, 'fleet.E006', f'No pool {command.pool!r}.')
+        return refuse(
+            state, 'fleet.E006', f'Pool {command.pool!r} does not exist.'
+        )
     state.instances[command.instance] = Instance(command.instance, command.pool)
     reassign_instance(
         state.subsystems.maintenance,
@@ -178,7 +191,7 @@
         return refuse(
             state,
             'fleet.E009',
-            f'No instance {command.instance!r}.',
+            f'Instance {command.instance!r} does not exist.',
         )
     forget_instance(state.subsystems.maintenance, command.instance)
     return accept(state)
--- a/src/sardinemast/fleet/_state.py
+++ b/src/sardinemast/fleet/_state.py
@@ -1,4 +1,4 @@
-"""State that the log's commands make."""
+"""Replicated state and its snapshots."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -21,30 +21,30 @@
 
 
 class KeyRecord(NamedTuple):
-    """Hold a key by its digest; the key itself is nowhere."""
+    """Hold the digest of a team's key; the key itself is not stored."""
 
     key_id: str
     team: str
     digest: bytes
 
     def __repr__(self) -> str:
-        """Leave the digest out, so that no log or error shows it."""
+        """Omit the digest, to keep it out of logs and errors."""
         return f'KeyRecord({self.key_id!r}, {self.team!r})'
 
 
 class Instance(NamedTuple):
-    """Hold where an instance belongs; its pool stands here and only here."""
+    """Hold an instance and the pool that entries route it by."""
 
     name: str
     pool: str
 
 
 class EntryProcess(NamedTuple):
-    """Hold an entry process that may have a lease and hold grants.
+    """Hold a registered entry process.
 
-    ``former`` are earlier incarnations whose last lease may still run. Other
-    entries reach it at ``host`` and ``port``. ``log_index`` is where this
-    start was registered.
+    ``former`` are earlier incarnations whose lease may not have expired yet.
+    Other entries reach the process at ``host`` and ``port``. ``log_index`` is
+    the index of its registration.
     """
 
     name: str
@@ -56,10 +56,10 @@
 
 
 class Grant(NamedTuple):
-    """Hold how many requests an entry incarnation may have running.
+    """Hold how many requests of a team an entry incarnation may run.
 
-    ``index`` is the log index of the last change, so that an entry's word
-    about an older amount is recognised as stale.
+    ``log_index`` is the index of the last change; messages of the entry about
+    an older amount are stale.
     """
 
     entry: str
@@ -70,10 +70,10 @@
 
 
 class Outcome(NamedTuple):
-    """Answer a command; the same answer is given to every resend.
+    """Hold the result of a command; a resend gets the same result.
 
-    ``changes`` tell the loser of a race what the winner changed, and
-    ``findings`` what is wrong with a document.
+    ``changes`` lists what has changed since the version that a refused
+    document was based on, ``findings`` the errors of a document.
     """
 
     is_accepted: bool
@@ -85,28 +85,28 @@
 
 
 class RecentCommand(NamedTuple):
-    """Hold what a command id stood for and what it was answered.
+    """Hold the digest and the outcome of an applied command, by its id.
 
-    ``noted_s`` is the wall time of the log when the command was applied.
+    ``applied_s`` is the log's wall time when the command was applied.
     """
 
     command_id: str
     digest: bytes
     outcome: Outcome
-    noted_s: float = 0
+    applied_s: float = 0
 
 
 class VersionRecord(NamedTuple):
-    """Hold a document as it was accepted, and by which command."""
+    """Hold an accepted version of the document."""
 
     version: int
-    noted_s: float
+    accepted_s: float
     command_id: str
     document: FleetDocument
 
 
 class FleetImage(NamedTuple):
-    """Hold the whole state as one record, for snapshots and streams."""
+    """Hold the whole state, for snapshots and the streams to entries."""
 
     log_index: int
     version: int
@@ -126,7 +126,7 @@
 
 
 class SubsystemStates(NamedTuple):
-    """Hold what is planned for instances and jobs."""
+    """Hold the states of the subsystems that share the fleet's log."""
 
     maintenance: MaintenanceState
     placement: PlacementState
@@ -141,8 +141,8 @@
     chosen among them. Retired entries stay: otherwise two entries could choose
     different holders in one epoch, and a resent request could run twice.
 
-    ``granted_totals`` is the sum of all grants of a team. An entry has the
-    totals too, but only its own grants.
+    ``granted_totals`` is the sum of all grants of each team. Entries have
+    these sums but only their own grants.
 
     ``wall_s`` is the latest wall time recorded in the log.
     """
@@ -169,7 +169,7 @@
 
 
 def dump_state(state: FleetState) -> FleetImage:
-    """Give the whole state as one record."""
+    """Return a snapshot of the state."""
     return FleetImage(
         state.log_index,
         state.version,
@@ -190,7 +190,7 @@
 
 
 def load_state(image: FleetImage) -> FleetState:
-    """Make a state from its record."""
+    """Restore a state from a snapshot."""
     state = FleetState()
     state.log_index = image.log_index
     state.version = image.version
--- a/src/sardinemast/fleet/_subsystem_commands.py
+++ b/src/sardinemast/fleet/_subsystem_commands.py
@@ -1,4 +1,4 @@
-"""Commands of maintenance, placement and jobs on the fleet's state."""
+"""Execution of the commands of maintenance, placement and jobs."""
 
 from sardinemast import jobs, maintenance, placement
 from sardinemast.fleet._execution import accept, execute_command, refuse
@@ -23,7 +23,7 @@
     if refusal is not None:
         return refuse(state, refusal.code, refusal.text)
     if isinstance(command, maintenance.commands.JoinPool):
-        _follow_pools(state)
+        _sync_pools(state)
     return accept(state)
 
 
@@ -42,9 +42,9 @@
     return accept(state)
 
 
-def _follow_pools(state: FleetState) -> None:
-    # Entries route by the fleet's instances. If a move changed only the
-    # maintenance state, an instance would stand in two pools.
+def _sync_pools(state: FleetState) -> None:
+    # Entries route by the pools in the fleet's state, so these must follow
+    # when maintenance moves an instance.
     for planned in state.subsystems.maintenance.instances.values():
         known = state.instances.get(planned.name)
         if known is not None and known.pool != planned.pool:
--- a/src/sardinemast/fleet/_time_commands.py
+++ b/src/sardinemast/fleet/_time_commands.py
@@ -1,4 +1,4 @@
-"""Time in the log, and what is forgotten by it."""
+"""Wall time of the log, and retention by age and by number."""
 
 from typing import NamedTuple
 
@@ -18,24 +18,24 @@
 
 
 class AdvanceTime(NamedTuple):
-    """Move the log's wall time on; it never goes back.
+    """Advance the wall time of the log; it never goes back.
 
-    The leader's clock enters the log here and nowhere else, so that all
-    replicas forget the same commands at the same index.
+    Replicas expire commands by this time alone, not by their own clocks, so
+    that all of them expire the same commands at the same log index.
     """
 
     wall_s: float
 
 
-def remember(state: FleetState, command: RecentCommand) -> None:
-    """Keep the answer, and drop the oldest beyond the bound."""
+def record_command(state: FleetState, command: RecentCommand) -> None:
+    """Record a command, and drop the oldest beyond the limit."""
     state.recent_commands[command.command_id] = command
     while len(state.recent_commands) > MAX_RECENT_COMMANDS:
         state.recent_commands.pop(next(iter(state.recent_commands)))
 
 
-def keep_version(state: FleetState, command_id: str) -> None:
-    """Keep the document in place, and drop the oldest beyond the bound."""
+def record_version(state: FleetState, command_id: str) -> None:
+    """Record the current document, and drop the oldest beyond the limit."""
     state.history[state.version] = VersionRecord(
         state.version,
         state.wall_s,
@@ -50,7 +50,7 @@
     state: FleetState,
     version: int,
 ) -> FleetDocument | None:
-    """Give the document of a version, or nothing where it is not kept."""
+    """Return the document of a version, or None if it was dropped."""
     if version == 0:
         return EMPTY_DOCUMENT
     record = state.history.get(version)
@@ -60,12 +60,11 @@
 @execute_command.register
 def _advance(command: AdvanceTime, state: FleetState) -> Outcome:
     state.wall_s = max(state.wall_s, command.wall_s)
-    forgotten_s = state.wall_s - COMMAND_RETENTION_DAYS * _DAY_S
-    # Commands stand in the order of their times, so the first that is young
-    # enough ends the search.
+    expiry_s = state.wall_s - COMMAND_RETENTION_DAYS * _DAY_S
+    # Commands are ordered by time: stop at the first one that is retained.
     while state.recent_commands:
         oldest = next(iter(state.recent_commands.values()))
-        if oldest.noted_s >= forgotten_s:
+        if oldest.applied_s >= expiry_s:
             break
         state.recent_commands.pop(oldest.command_id)
     return accept(state)
--- a/src/sardinemast/fleet/commands.py
+++ b/src/sardinemast/fleet/commands.py
@@ -1,4 +1,4 @@
-"""Commands that change the fleet's state, in the order of the log."""
+"""Commands that change the fleet's state, applied in log order."""
 
 import hashlib
 
@@ -25,7 +25,7 @@
 )
 from sardinemast.fleet._state import FleetState, Outcome, RecentCommand
 from sardinemast.fleet._subsystem_commands import SUBSYSTEM_COMMAND_CLASSES
-from sardinemast.fleet._time_commands import AdvanceTime, remember
+from sardinemast.fleet._time_commands import AdvanceTime, record_command
 from sardinemast.wire import MessageSet
 
 Command = (
@@ -87,7 +87,7 @@
 
 
 def apply_command(state: FleetState, command: Command, index: int) -> Outcome:
-    """Change the state by the command that stands at the index."""
+    """Apply the command at the log index and return its outcome."""
     state.log_index = index
     command_id = getattr(command, 'command_id', '')
     if not command_id:
@@ -96,7 +96,7 @@
     known = state.recent_commands.get(command_id)
     if known is None:
         outcome = execute_command(command, state)
-        remember(
+        record_command(
             state,
             RecentCommand(command_id, digest, outcome, state.wall_s),
         )
@@ -106,20 +106,19 @@
     return refuse(
         state,
         'fleet.E001',
-        'This command id stands for another command.',
+        'The command id was used for another command.',
     )
 
 
 def is_known_command(state: FleetState, command: Command) -> bool:
-    """Tell whether the id was seen, so that applying changes nothing."""
+    """Check whether the id of the command was used before."""
     command_id = getattr(command, 'command_id', '')
     return command_id in state.recent_commands
 
 
 def _digest(command: Command) -> bytes:
-    # The command line reads the version anew before each send. When the first
-    # send was accepted and its answer lost, the resend is based on the version
-    # that it made itself; it is the same command all the same.
+    # The command line reads the current version before each attempt, so a
+    # resend may be based on the version that the first attempt created.
     if isinstance(command, ApplyDocument | RestoreVersion):
         command = command._replace(based_on=0)
     packed = COMMANDS.pack(command)
--- a/src/sardinemast/fleet/exceptions.py
+++ b/src/sardinemast/fleet/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of commands on the fleet."""
+"""Exceptions of the fleet's state."""
 
 from sardinemast.exceptions import CodedError
 
--- a/src/sardinemast/fleet/queries.py
+++ b/src/sardinemast/fleet/queries.py
@@ -1,4 +1,4 @@
-"""Questions to the fleet's state that change nothing."""
+"""Read-only queries on the fleet's state."""
 
 import hmac
 from typing import Any
@@ -11,35 +11,35 @@
 
 
 def find_team_by_key(state: FleetState, digest: bytes) -> str | None:
-    """Give the team whose key has the digest."""
+    """Return the team whose key has the digest."""
     record = state.keys_by_digest.get(digest)
     if record is None or not hmac.compare_digest(record.digest, digest):
         return None
-    # Removing a team with keys is refused; should its document be gone all
-    # the same, its keys are gone with it.
+    # A team with keys can't be removed. Should it be missing all the same, its
+    # keys must not work.
     return record.team if record.team in state.document.teams else None
 
 
 def get_pool(state: FleetState, name: str, site: str) -> Pool | None:
-    """Give the pool as the site's overlay has it."""
+    """Return the pool with the changes of the site's overlay."""
     of_site = state.document.site_pools.get(site, {})
     return of_site.get(name, state.document.pools.get(name))
 
 
 def get_grants(state: FleetState, team: str) -> tuple[Grant, ...]:
-    """Give all grants of the team, whoever holds them."""
+    """Return all grants of a team."""
     return tuple(grant for grant in state.grants.values() if grant.team == team)
 
 
-def get_free_limit(state: FleetState, team: str) -> int:
-    """Give what may still be granted; negative after a limit went down."""
+def get_remaining_limit(state: FleetState, team: str) -> int:
+    """Return the ungranted part of a limit, negative if it was lowered."""
     declared = state.document.teams.get(team)
     limit = declared.limit if declared else 0
     return limit - state.granted_totals.get(team, 0)
 
 
 def describe_state(state: FleetState) -> dict[str, Any]:
-    """Give the state for operators, without any digest."""
+    """Return the state for operators, without digests of keys."""
     return {
         'index': state.log_index,
         'version': state.version,
@@ -55,7 +55,7 @@
         'versions': [
             {
                 'version': one.version,
-                'accepted_s': one.noted_s,
+                'accepted_s': one.accepted_s,
                 'command_id': one.command_id,
             }
             for one in state.history.values()
@@ -69,7 +69,7 @@
     before: int,
     after: int,
 ) -> tuple[DocumentChange, ...] | None:
-    """Give what differs between two versions, or nothing where one is gone."""
+    """Return the changes between versions, or None if one was dropped."""
     old = get_version_document(state, before)
     new = get_version_document(state, after)
     if old is None or new is None:
--- a/src/sardinemast/fleet/utils.py
+++ b/src/sardinemast/fleet/utils.py
@@ -1,12 +1,11 @@
-"""Helpers of the fleet's state."""
+"""Utilities for keys."""
 
 import hashlib
 
 
 def digest_key(key: str) -> bytes:
-    """Give the digest under which a key is stored.
+    """Return the digest under which a key is stored.
 
-    Keys are made by the command line from 256 random bits, so that a plain
-    hash cannot be reversed by guessing.
+    Keys are 256 random bits, so a plain hash withstands guessing.
     """
     return hashlib.sha256(key.encode()).digest()
--- a/tests/fleet/test_operator_commands.py
+++ b/tests/fleet/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands of operators: ids, versions, history and checks."""
+"""Commands of operators: resends, versions, history and validation."""
 
 from builders import make_document, make_fleet
 from builders.fleets import KEY_DIGEST
@@ -22,11 +22,10 @@
 _DAY_S = 86_400
 
 
-def test_loser_of_a_race_sees_what_the_winner_changed() -> None:
-    """Tell the second of two operators what differs now.
+def test_conflicting_change_is_refused_with_the_differences() -> None:
+    """The second of two operators must see what the first changed.
 
-    Both start from version 1. Without the difference, the second would take
-    the new version number, send its file again and undo the first change.
+    Otherwise it would send its file again and undo the change.
     """
     state = make_fleet()
     apply_command(state, ApplyDocument('a', 1, make_document(limit=5)), 4)
@@ -35,8 +34,8 @@
     assert lost.changes == (('teams.petits-pixels.limit', '3', '5'),)
 
 
-def test_resend_gets_the_first_answer_after_a_snapshot() -> None:
-    """Know a command id also in a state that was loaded from a snapshot."""
+def test_resend_gets_the_first_outcome_after_a_restore() -> None:
+    """A replica restored from a snapshot must recognise resends."""
     state = make_fleet()
     sent = ApplyDocument('a', 1, make_document(limit=5))
     first = apply_command(state, sent, 4)
@@ -45,16 +44,16 @@
     assert loaded.version == 2
 
 
-def test_id_of_another_command_is_refused() -> None:
-    """Refuse a command whose id stands for another one."""
+def test_reused_command_id_is_refused() -> None:
+    """A command must not get the outcome of another one with its id."""
     state = make_fleet()
     apply_command(state, WithdrawKey('w', 'k1'), 4)
     other = apply_command(state, WithdrawKey('w', 'k2'), 5)
     assert other.code == 'fleet.E001'
 
 
-def test_commands_are_forgotten_by_the_time_of_the_log() -> None:
-    """Keep an answer for the stated days and no longer."""
+def test_commands_expire_by_the_time_of_the_log() -> None:
+    """An outcome must be kept for the retention time and no longer."""
     state = FleetState()
     apply_command(state, AdvanceTime(_DAY_S), 1)
     apply_command(state, WithdrawKey('w', 'k1'), 2)
@@ -65,15 +64,15 @@
 
 
 def test_time_of_the_log_never_goes_back() -> None:
-    """Ignore a leader whose clock is behind."""
+    """The clock of a new leader may be behind."""
     state = FleetState()
     apply_command(state, AdvanceTime(_DAY_S), 1)
     apply_command(state, AdvanceTime(1), 2)
     assert state.wall_s == _DAY_S
 
 
-def test_going_back_is_a_new_version() -> None:
-    """Put an earlier document in place under the next number."""
+def test_restored_version_is_a_new_version() -> None:
+    """A restored document must get the next version number."""
     state = make_fleet()
     apply_command(state, ApplyDocument('a', 1, make_document(limit=5)), 4)
     outcome = apply_command(state, RestoreVersion('b', 2, 1), 5)
@@ -83,7 +82,7 @@
 
 
 def test_history_is_bounded() -> None:
-    """Keep the latest versions and refuse to go back to a lost one."""
+    """A version that was dropped must not be restored."""
     state = make_fleet()
     for version in range(1, 50):
         document = make_document(limit=version)
@@ -92,11 +91,10 @@
     assert outcome.code == 'fleet.E007'
 
 
-def test_document_is_checked_whole() -> None:
-    """Refuse a document with all its findings, and change nothing.
+def test_invalid_document_is_refused_with_all_findings() -> None:
+    """A document must not remove a team with keys or a pool with instances.
 
-    A file loses a team whose key still works and a pool that still has an
-    instance. Taken as it is, callers and the instance would belong nowhere.
+    All findings must be reported at once, and the state must not change.
     """
     state = make_fleet()
     broken = FleetDocument({}, {}, {'a': Team('b', 0, 1)}, {'here': {}})
@@ -111,15 +109,15 @@
     assert state.version == 1
 
 
-def test_key_of_a_team_that_is_gone_stops() -> None:
-    """Take no key whose team is not declared."""
+def test_key_of_a_missing_team_is_rejected() -> None:
+    """A key must not work without its team."""
     state = make_fleet()
     state.document = make_document()._replace(teams={})
     assert find_team_by_key(state, KEY_DIGEST) is None
 
 
-def test_no_text_shows_a_digest() -> None:
-    """Keep digests out of whatever shows a record or an image."""
+def test_repr_omits_digests() -> None:
+    """Digests of keys must not reach logs or errors."""
     state = make_fleet()
     command = GrantKey('c', 'k2', 'petits-pixels', b'secret-digest')
     texts = f'{command!r} {dump_state(state).keys!r}'
--- a/tests/fleet/test_subsystem_commands.py
+++ b/tests/fleet/test_subsystem_commands.py
@@ -64,8 +64,8 @@
     return state
 
 
-def test_image_holds_plans() -> None:
-    """A state made from an image has the same plans."""
+def test_restored_snapshot_holds_the_subsystems() -> None:
+    """A snapshot must include the states of the subsystems."""
     state = _make_moving()
     size = placement.Size(1000, 1000)
     _apply(
@@ -78,8 +78,8 @@
     assert image.maintenance.instances and image.placement.workers
 
 
-def test_move_changes_the_pool_that_entries_route_by() -> None:
-    """Leave an instance in one pool at each log index."""
+def test_move_changes_the_pool_for_routing() -> None:
+    """A moved instance must not be in two pools at a log index."""
     state = _make_moving()
     moving = state.subsystems.maintenance.instances['enrol-1']
     join = maintenance.commands.JoinPool('enrol-1', moving.changed_index)
@@ -88,12 +88,8 @@
     assert state.subsystems.maintenance.instances['enrol-1'].pool == 'spare'
 
 
-def test_operator_who_assigns_ends_the_step() -> None:
-    """Let an operator's assignment win over a move that is under way.
-
-    An operator assigns an instance by hand while it drains for a move. If
-    the move went on, the instance would end in the pool of the older plan.
-    """
+def test_assignment_by_an_operator_cancels_a_move() -> None:
+    """A move in progress must not override an operator's assignment."""
     state = _make_moving()
     moving = state.subsystems.maintenance.instances['enrol-1']
     state.document = state.document._replace(
@@ -113,7 +109,7 @@
 
 
 def test_entries_get_no_jobs() -> None:
-    """Send entries what instances do, but nothing of jobs."""
+    """Entries need the state of maintenance, but not of jobs."""
     state = _make_moving()
     image = dump_for_entry(state, 'entry-1', 7)
     assert image.maintenance == dump_state(state).maintenance
@@ -121,17 +117,16 @@
     assert not make_entry_update(state, drain, 99).payload
 
 
-def test_registered_entry_is_asked_before_a_reboot() -> None:
-    """Know each run of an entry from its registration on."""
+def test_registered_entry_is_known_to_maintenance() -> None:
+    """A reboot must not ignore work of an entry that just registered."""
     runs = _make_moving().subsystems.maintenance.entry_runs
     assert set(runs) == {maintenance.EntryRun('entry-1', 7)}
 
 
 def test_draining_instance_gets_no_new_work() -> None:
-    """Send nothing to an instance from the index at which its drain stands.
+    """A drain must end although the instance still announces that it serves.
 
-    The instance itself still says that it serves. If an entry went on
-    sending, the drain would never end.
+    Entries must send it nothing from the log index of the drain on.
     """
     announcement = make_announcement()
     picker = UpstreamPicker('rennes', Random(1))
