--- a/src/sardinemast/storage/__init__.py
+++ b/src/sardinemast/storage/__init__.py
@@ -1,4 +1,4 @@
-"""Files that last only once they are synced."""
+"""Store the log of a replica durably in its data folder."""
 
 from sardinemast.storage._files import OS_FILE_FUNCTIONS, FileFunctions
 from sardinemast.storage._log_store import LoadedLog, LogStore, open_log_store
--- a/src/sardinemast/storage/_files.py
+++ b/src/sardinemast/storage/_files.py
@@ -1,4 +1,4 @@
-"""File functions that the stores use, to be replaced in tests."""
+"""Provide the file functions of the stores, which tests can replace."""
 
 import os
 from collections.abc import Callable
@@ -9,10 +9,10 @@
 
 
 class FileFunctions(NamedTuple):
-    """Hold each step that can fail or be cut short by a crash.
+    """Hold the file operations that can fail or be interrupted by a crash.
 
-    ``create`` and ``reopen`` give a descriptor for writing: of a new empty
-    file, and at the end of one that exists.
+    ``create`` returns a descriptor for writing to a new or truncated file,
+    ``reopen`` one for appending to an existing file.
     """
 
     create: Callable[[Path], int]
@@ -25,26 +25,26 @@
 
 
 def write_all(files: FileFunctions, descriptor: int, content: bytes) -> None:
-    """Write all of the content, however many calls it takes."""
+    """Write all of the content, repeating partial writes."""
     position = 0
     while position < len(content):
         position += files.write(descriptor, content[position:])
 
 
 def replace_file(files: FileFunctions, path: Path, content: bytes) -> None:
-    """Put content under the path so that a crash leaves old or new.
+    """Replace the content of a file atomically.
 
-    The new file is synced before it takes the name, and the folder after;
-    in another order a crash could leave the name on an empty file.
+    The new file is synced before the rename and the folder after it. In
+    another order, a crash could leave an empty file under the path.
     """
-    fresh = path.with_suffix('.new')
-    descriptor = files.create(fresh)
+    temporary = path.with_suffix('.new')
+    descriptor = files.create(temporary)
     try:
         write_all(files, descriptor, content)
         files.sync(descriptor)
     finally:
         files.close(descriptor)
-    files.rename(fresh, path)
+    files.rename(temporary, path)
     files.sync_folder(path.parent)
 
 
--- a/src/sardinemast/storage/_folder.py
+++ b/src/sardinemast/storage/_folder.py
@@ -1,4 +1,4 @@
-"""Identity of a data folder, and how a copy is told from the original."""
+"""Identify a data folder, and tell a copy from the original."""
 
 import os
 import uuid
@@ -16,44 +16,45 @@
 
 
 class FolderSeal(NamedTuple):
-    """Tell which file on which disk carries the identity.
+    """Identify the file that holds the identity, to detect copies.
 
-    The change time is set by the system and by nobody else, and a file that
-    is copied or restored gets a new one; the inode alone may be used again.
+    Only the operating system sets the change time, and a copied or restored
+    file gets a new one. The inode number alone may be reused.
     """
 
     identity: str
     inode: int
-    changed_ns: int
+    changed_at_ns: int
 
 
 def make_identity(folder: Path, files: FileFunctions) -> FolderIdentity:
     """Write and sync a new identity.
 
-    A folder beside one that was set aside may not found a cluster: three
-    damaged folders must not turn into an empty cluster that answers as if
-    nothing had ever been there.
+    A folder next to one that was set aside may not bootstrap a cluster, so
+    that replicas with damaged folders do not start an empty cluster.
     """
-    replaced = folder.parent.glob(f'{folder.name}{ASIDE_SUFFIX}*')
-    made = FolderIdentity(uuid.uuid4().hex, may_found=not any(replaced))
-    content = frame_record(_RECORDS.encode(made))
+    replaced_folders = folder.parent.glob(f'{folder.name}{ASIDE_SUFFIX}*')
+    identity = FolderIdentity(
+        uuid.uuid4().hex, may_found=not any(replaced_folders)
+    )
+    content = frame_record(_RECORDS.encode(identity))
     replace_file(files, folder / _FILE_NAME, content)
-    return made
+    return identity
 
 
 def read_identity(folder: Path) -> FolderIdentity | None:
-    """Give the identity of the folder, or nothing where it has none."""
+    """Return the identity of the folder, if it has one."""
     path = folder / _FILE_NAME
     if not path.exists():
         return None
-    found = read_records(path.read_bytes())
-    if not found.records:
+    contents = read_records(path.read_bytes())
+    if not contents.records:
         return None
-    identity = _RECORDS.decode(found.records[0])
+    identity = _RECORDS.decode(contents.records[0])
     return identity if isinstance(identity, FolderIdentity) else None
 
 
-def make_seal(folder: Path, identity: FolderIdentity) -> FolderSeal:
-    """Give the seal of the identity file as it stands on this disk."""
-    found = os.stat(folder / _FILE_NAME)
-    return FolderSeal(identity.identity, found.st_ino, found.st_ctime_ns)
+def read_seal(folder: Path, identity: FolderIdentity) -> FolderSeal:
+    """Return the seal of the identity file as it is on this disk."""
+    status = os.stat(folder / _FILE_NAME)
+    return FolderSeal(identity.identity, status.st_ino, status.st_ctime_ns)
--- a/src/sardinemast/storage/_log_store.py
+++ b/src/sardinemast/storage/_log_store.py
@@ -1,4 +1,4 @@
-"""Log, snapshot and hard state of one replica in a file."""
+"""Store log, snapshot and hard state of one replica in a file."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -18,8 +18,8 @@
 from sardinemast.storage._folder import (
     FolderSeal,
     make_identity,
-    make_seal,
     read_identity,
+    read_seal,
 )
 from sardinemast.storage._records import frame_record, read_records
 from sardinemast.storage.exceptions import StorageError
@@ -30,7 +30,7 @@
 
 
 class LoadedLog(NamedTuple):
-    """Give what was synced before the process started."""
+    """Hold what was read from the data folder at the start."""
 
     folder: FolderIdentity
     hard_state: HardState = HardState()
@@ -49,13 +49,13 @@
     ) -> None:
         self._path = folder / _FILE_NAME
         self._files = files
-        self._seal = make_seal(folder, loaded.folder)
+        self._seal = read_seal(folder, loaded.folder)
         self._hard_state = loaded.hard_state
         self._descriptor: int | None = None
         self._is_failed = False
-        # What was read may never have been synced: the last process was
-        # killed between write and sync, or its sync failed. Written anew and
-        # synced here, it cannot vanish after the replica has answered for it.
+        # What was read may not be synced, if the last process was killed
+        # before the sync or the sync failed. It is written and synced again,
+        # so that it cannot be lost after the replica has acknowledged it.
         self._rewrite(loaded.snapshot, loaded.entries)
 
     def save_hard_state(self, hard_state: HardState) -> None:
@@ -66,8 +66,8 @@
     def append_entries(self, entries: tuple[LogEntry, ...]) -> None:
         """Write and sync entries, or raise ``storage.E002``.
 
-        An entry at an index that the file already holds cuts the older one
-        and all behind it when the file is read.
+        An entry whose index is already in the file replaces that entry and all
+        later ones when the file is read.
         """
         self._append(entries)
 
@@ -76,7 +76,7 @@
         snapshot: Snapshot,
         entries: tuple[LogEntry, ...],
     ) -> None:
-        """Put a snapshot and the entries behind it in place of the log."""
+        """Replace the log by a snapshot and the entries that follow it."""
         self._rewrite(snapshot, entries)
 
     def close(self) -> None:
@@ -86,12 +86,12 @@
             self._descriptor = None
 
     def _append(self, records: tuple[HardState | LogEntry, ...]) -> None:
-        self._check_usable()
+        self._check_not_failed()
         content = _encode(records)
         try:
             self._write(content)
         except OSError as error:
-            raise self._fail(error) from error
+            raise self._mark_failed(error) from error
 
     def _write(self, content: bytes) -> None:
         if self._descriptor is None:
@@ -104,35 +104,37 @@
         snapshot: Snapshot | None,
         entries: tuple[LogEntry, ...],
     ) -> None:
-        self._check_usable()
-        head = (self._seal, self._hard_state)
-        records = (*head, snapshot, *entries) if snapshot else (*head, *entries)
+        self._check_not_failed()
+        header = (self._seal, self._hard_state)
+        records = (
+            (*header, snapshot, *entries) if snapshot else (*header, *entries)
+        )
         try:
             self._replace(_encode(records))
         except OSError as error:
-            raise self._fail(error) from error
+            raise self._mark_failed(error) from error
 
     def _replace(self, content: bytes) -> None:
         self.close()
         replace_file(self._files, self._path, content)
 
-    def _check_usable(self) -> None:
+    def _check_not_failed(self) -> None:
         if self._is_failed:
             raise StorageError(
                 'storage.E002',
-                'The log failed before; nothing more is written.',
-                'Free or replace the disk and start the process again.',
+                'The log takes no more writes after an earlier failure.',
+                'Free disk space or replace the disk, and restart the process.',
             )
 
-    def _fail(self, error: OSError) -> StorageError:
-        # After a failed sync the kernel may have dropped the pages, so a
-        # second sync can report success for bytes that are lost. The caller
-        # must stop the process and read back what the disk really holds.
+    def _mark_failed(self, error: OSError) -> StorageError:
+        # After a failed sync the kernel may drop the dirty pages, so that the
+        # next sync succeeds although data is lost. The caller must stop the
+        # process and read at the next start what the disk holds.
         self._is_failed = True
         return StorageError(
             'storage.E002',
-            f'The log could not be synced: {error}.',
-            'Free or replace the disk; the process stops.',
+            f'The log could not be written and synced: {error}.',
+            'The process stops. Free disk space or replace the disk.',
         )
 
 
@@ -142,20 +144,20 @@
 ) -> tuple[LogStore, LoadedLog]:
     """Read the log of the folder and open it for appending.
 
-    Raises ``storage.E001`` where a synced record is damaged, and
-    ``storage.E003`` where the folder is a copy.
+    Raises ``storage.E001`` if a synced record is damaged, ``storage.E002`` if
+    reading or writing fails, and ``storage.E003`` if the folder is a copy.
     """
     try:
-        return _open(folder, files)
+        return _open_folder(folder, files)
     except OSError as error:
         raise StorageError(
             'storage.E002',
             f'The data folder could not be opened: {error}.',
-            'Free or replace the disk; the process stops.',
+            'The process stops. Free disk space or replace the disk.',
         ) from error
 
 
-def _open(
+def _open_folder(
     folder: Path,
     files: FileFunctions,
 ) -> tuple[LogStore, LoadedLog]:
@@ -168,26 +170,26 @@
         loaded = _load(folder, path.read_bytes())
     else:
         # The log is written right after the identity, so that an identity
-        # without a log was never used and is made anew.
+        # without a log was never used and can be replaced.
         loaded = LoadedLog(make_identity(folder, files))
     return LogStore(folder, files, loaded), loaded
 
 
 def _load(folder: Path, content: bytes) -> LoadedLog:
     identity = read_identity(folder)
-    found = [_RECORDS.decode(one) for one in read_records(content).records]
+    records = [_RECORDS.decode(one) for one in read_records(content).records]
     is_original = (
         identity is not None
-        and found
-        and found[0] == make_seal(folder, identity)
+        and records
+        and records[0] == read_seal(folder, identity)
     )
     if identity is None or not is_original:
         raise StorageError(
             'storage.E003',
-            'The data folder is a copy or was restored.',
-            'The folder is set aside; the others hold what it held.',
+            'The data folder is a copy or was restored from a backup.',
+            'The folder is set aside; the other replicas hold its data.',
         )
-    return _replay(identity, found)
+    return _replay(identity, records)
 
 
 def _replay(identity: FolderIdentity, records: list[object]) -> LoadedLog:
@@ -195,15 +197,15 @@
     snapshot: Snapshot | None = None
     entries: list[LogEntry] = []
     base_index = 0
-    for found in records:
-        if isinstance(found, HardState):
-            hard_state = found
-        elif isinstance(found, Snapshot):
-            snapshot = found
+    for record in records:
+        if isinstance(record, HardState):
+            hard_state = record
+        elif isinstance(record, Snapshot):
+            snapshot = record
             base_index = snapshot.last_index
-        elif isinstance(found, LogEntry):
-            del entries[found.log_index - base_index - 1 :]
-            entries.append(found)
+        elif isinstance(record, LogEntry):
+            del entries[record.log_index - base_index - 1 :]
+            entries.append(record)
     return LoadedLog(identity, hard_state, snapshot, tuple(entries))
 
 
--- a/src/sardinemast/storage/_records.py
+++ b/src/sardinemast/storage/_records.py
@@ -1,4 +1,4 @@
-"""Checksummed records, one after the other in a file."""
+"""Frame records with checksums, and read them back from a file."""
 
 import struct
 import zlib
@@ -6,35 +6,34 @@
 
 from sardinemast.storage.exceptions import StorageError
 
-# Length and checksum of the record, and a checksum of these two. Without the
-# last one a damaged length in the middle would point behind the end of the
-# file and look like a torn tail, and synced records would be cut off.
+# A header holds length and checksum of the record, followed by a checksum of
+# the header. Without the latter, a damaged length could point past the end of
+# the file, look like an incomplete last record and drop synced records.
 _HEADER = struct.Struct('>II')
-_SEAL = struct.Struct('>I')
-_HEADER_BYTES = _HEADER.size + _SEAL.size
+_HEADER_CHECKSUM = struct.Struct('>I')
+_HEADER_BYTES = _HEADER.size + _HEADER_CHECKSUM.size
 
 
 class ReadRecords(NamedTuple):
-    """Give the whole records and where the last one ends."""
+    """Hold the complete records and the position after the last one."""
 
     records: tuple[bytes, ...]
     end_bytes: int
 
 
 def frame_record(record: bytes) -> bytes:
-    """Put length and checksums before the record."""
+    """Return the record with its length and checksums in front."""
     header = _HEADER.pack(len(record), zlib.crc32(record))
-    return header + _SEAL.pack(zlib.crc32(header)) + record
+    return header + _HEADER_CHECKSUM.pack(zlib.crc32(header)) + record
 
 
 def read_records(content: bytes) -> ReadRecords:
-    """Read all records, leaving out a torn last one.
+    """Read all records, except for an incomplete one at the end.
 
-    A crash in the middle of an append leaves a short last record, or zeros
-    where the file grew before its content came; nobody was told that it
-    lasts, so it is left out. Anything else that is wrong was once synced:
-    using the rest would lose an acknowledged command in silence, so
-    ``storage.E001`` is raised and the replica needs repair.
+    A crash during an append leaves a short last record, or zeros if the file
+    grew before its content was written. That record was not acknowledged and
+    is ignored. Any other damage concerns synced records. Ignoring it could
+    lose an acknowledged command, so that ``storage.E001`` is raised.
     """
     records: list[bytes] = []
     position = 0
@@ -52,23 +51,23 @@
     if start > len(content):
         return None
     header = content[position : position + _HEADER.size]
-    seal = content[position + _HEADER.size : start]
-    if _SEAL.pack(zlib.crc32(header)) != seal:
+    header_checksum = content[position + _HEADER.size : start]
+    if _HEADER_CHECKSUM.pack(zlib.crc32(header)) != header_checksum:
         if any(content[position:]):
-            raise _damaged(position)
+            raise _make_damage_error(position)
         return None
     length, checksum = _HEADER.unpack(header)
     record = content[start : start + length]
     if len(record) < length:
         return None
     if zlib.crc32(record) != checksum:
-        raise _damaged(position)
+        raise _make_damage_error(position)
     return record
 
 
-def _damaged(position: int) -> StorageError:
+def _make_damage_error(position: int) -> StorageError:
     return StorageError(
         'storage.E001',
         f'The record at byte {position} is damaged.',
-        'The folder is set aside; the others hold what it held.',
+        'The folder is set aside; the other replicas hold its data.',
     )
--- a/src/sardinemast/storage/_repair.py
+++ b/src/sardinemast/storage/_repair.py
@@ -1,4 +1,4 @@
-"""Go on with an empty folder where the old one cannot be trusted."""
+"""Replace a damaged or copied data folder by an empty one."""
 
 import os
 from itertools import count
@@ -19,7 +19,7 @@
     folder: Path,
     files: FileFunctions = OS_FILE_FUNCTIONS,
 ) -> tuple[LogStore, LoadedLog]:
-    """Open the log, or an empty one in place of what cannot be trusted."""
+    """Open the log, replacing a damaged or copied folder by an empty one."""
     try:
         return open_log_store(folder, files)
     except StorageError as error:
@@ -33,7 +33,7 @@
 def set_folder_aside(
     folder: Path, files: FileFunctions = OS_FILE_FUNCTIONS
 ) -> Path:
-    """Set the folder aside, so that the next one is made anew beside it."""
+    """Rename the folder, so that a new one can be made; return its path."""
     numbers = count(1)
     aside = folder
     while aside.exists():
--- a/src/sardinemast/storage/exceptions.py
+++ b/src/sardinemast/storage/exceptions.py
@@ -1,7 +1,7 @@
-"""Errors of the data folder."""
+"""Define the errors of the data folder."""
 
 from sardinemast.exceptions import CodedError
 
 
 class StorageError(CodedError):
-    """Report files that cannot be trusted or written."""
+    """Report that stored files are damaged, copied or cannot be written."""
--- a/tests/storage/test_log_store.py
+++ b/tests/storage/test_log_store.py
@@ -1,4 +1,4 @@
-"""Files after a crash."""
+"""Test reading the log after crashes, damage and copies."""
 
 import shutil
 from pathlib import Path
@@ -24,19 +24,18 @@
     return folder / 'log.wal'
 
 
-def test_synced_records_come_back(tmp_path: Path) -> None:
-    """All that was synced is read at the next start."""
+def test_synced_records_are_loaded(tmp_path: Path) -> None:
+    """Load all synced records at the next start."""
     _write(tmp_path)
     _, loaded = open_log_store(tmp_path)
     assert loaded.hard_state == HardState(1, 'control-2')
     assert loaded.entries == _ENTRIES
 
 
-def test_torn_tail_is_cut(tmp_path: Path) -> None:
-    """Cut a record that the crash left half written.
+def test_incomplete_last_record_is_ignored(tmp_path: Path) -> None:
+    """Ignore a last record that a crash interrupted.
 
-    The power goes while a record is being written. Nobody was told that it
-    lasts; kept, it would make the replica refuse to start.
+    It was not acknowledged, and must not keep the replica from starting.
     """
     path = _write(tmp_path)
     path.write_bytes(path.read_bytes()[:-3])
@@ -44,11 +43,10 @@
     assert loaded.entries == _ENTRIES[:1]
 
 
-def test_damage_before_the_tail_is_refused(tmp_path: Path) -> None:
-    """Refuse a file whose synced records were changed.
+def test_damaged_record_is_rejected(tmp_path: Path) -> None:
+    """Reject a log in which a synced record is damaged.
 
-    A bad sector changes a record that others follow. Read on, the replica
-    would silently miss a command that an operator was told is accepted.
+    Skipping the record could lose an acknowledged command.
     """
     path = _write(tmp_path)
     content = bytearray(path.read_bytes())
@@ -58,11 +56,10 @@
         open_log_store(tmp_path)
 
 
-def test_damaged_length_is_no_torn_tail(tmp_path: Path) -> None:
-    """Refuse a file in which the length of a synced record is wrong.
+def test_damaged_length_is_rejected(tmp_path: Path) -> None:
+    """Reject a log in which the length of a synced record is damaged.
 
-    A bad sector makes a record in the middle look longer than the file. Taken
-    for a torn tail, it and all behind it would be cut off in silence.
+    Taken for an incomplete last record, it would hide all later records.
     """
     path = _write(tmp_path)
     content = bytearray(path.read_bytes())
@@ -72,11 +69,10 @@
         open_log_store(tmp_path)
 
 
-def test_zeros_at_the_end_are_cut(tmp_path: Path) -> None:
-    """Cut zeros that the file grew by before its content came.
+def test_zeros_at_the_end_are_ignored(tmp_path: Path) -> None:
+    """Ignore zeros at the end of the log.
 
-    The power goes after the file system noted the new size. Nobody was told
-    that the record lasts.
+    A power loss leaves them if the file grew before its content was written.
     """
     path = _write(tmp_path)
     path.write_bytes(path.read_bytes() + bytes(64))
@@ -84,11 +80,11 @@
     assert loaded.entries == _ENTRIES
 
 
-def test_copy_is_refused(tmp_path: Path) -> None:
-    """Refuse a folder that was copied, also under the old path.
+def test_copied_folder_is_rejected(tmp_path: Path) -> None:
+    """Reject a copied folder, also under the original path.
 
-    An operator restores a backup. The replica has answered for more since,
-    and with the copy it would help to elect a leader that lacks it.
+    A restored backup lacks entries that the replica acknowledged later, and
+    could help to elect a leader without them.
     """
     folder = tmp_path / 'replica'
     _write(folder)
@@ -99,8 +95,8 @@
         open_log_store(folder)
 
 
-def test_renamed_folder_is_the_original(tmp_path: Path) -> None:
-    """Take a folder whose path has changed for what it was."""
+def test_renamed_folder_is_accepted(tmp_path: Path) -> None:
+    """Accept the original folder under another path."""
     _write(tmp_path / 'replica')
     (tmp_path / 'replica').rename(tmp_path / 'moved')
     _, loaded = open_log_store(tmp_path / 'moved')
@@ -108,10 +104,9 @@
 
 
 def test_damaged_folder_is_set_aside(tmp_path: Path) -> None:
-    """Go on with a new identity that may not found a cluster.
+    """Replace a damaged folder by one that may not bootstrap a cluster.
 
-    All disks of a kind fail in the same week. The replicas must wait for one
-    that still holds the state, and not agree on an empty one.
+    If all folders are damaged, the replicas must not start an empty cluster.
     """
     folder = tmp_path / 'replica'
     path = _write(folder)
@@ -126,11 +121,11 @@
     assert (tmp_path / 'replica.aside-1' / 'log.wal').exists()
 
 
-def test_failed_sync_is_not_retried(tmp_path: Path) -> None:
-    """Refuse all further writes after a sync has failed.
+def test_no_write_succeeds_after_failed_sync(tmp_path: Path) -> None:
+    """Reject all writes after a failed sync.
 
-    The kernel drops the pages of a failed sync, and the next one reports
-    success. Whoever believed it would answer for bytes that are lost.
+    The kernel may drop the pages of a failed sync and report success for the
+    next one, although data is lost.
     """
     files = FaultyFiles()
     store, _ = open_log_store(tmp_path, files.functions)
--- a/tests/storage/test_log_store_fuzz.py
+++ b/tests/storage/test_log_store_fuzz.py
@@ -1,4 +1,4 @@
-"""Histories of a log file with kills at every write, and failing disks."""
+"""Fuzz the log store with kills, failing writes and power loss."""
 
 import os
 import tempfile
@@ -19,32 +19,34 @@
 from sardinemast.storage import LogStore, StorageError, open_log_store
 
 pytestmark = pytest.mark.fuzz
-# Where the number is above all steps of an operation, nothing goes wrong.
-_STEPS = st.integers(0, 24)
+# File operations before the fault; a large number means no fault.
+_FAULT_STEPS = st.integers(0, 24)
 
 State = tuple[HardState, Snapshot | None, tuple[LogEntry, ...]]
 
 
 def _get_fast_folder() -> str | None:
-    # Nothing here depends on what the real disk does.
+    # FaultyFiles simulates the disk, so that a memory file system will do.
     return '/dev/shm' if os.access('/dev/shm', os.W_OK) else None
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """Compare the file with a plain list of what was acknowledged."""
+    """Compare the stored log with a model of what was acknowledged."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.holder = tempfile.TemporaryDirectory(dir=_get_fast_folder())
-        self.folder = Path(self.holder.name) / 'replica'
+        self.temporary_folder = tempfile.TemporaryDirectory(
+            dir=_get_fast_folder()
+        )
+        self.folder = Path(self.temporary_folder.name) / 'replica'
         self.files = FaultyFiles()
         self.store: LogStore | None = None
         self.state: State = (HardState(), None, ())
-        self.possible: list[State] = []
+        self.possible_states: list[State] = []
         self.reopen()
 
     def reopen(self) -> None:
-        """Open the folder, and check what comes back."""
+        """Open the folder, and check what is loaded."""
         if self.store is not None:
             self.store.close()
         self.files.kill_in = None
@@ -52,87 +54,97 @@
         store, loaded = open_log_store(self.folder, self.files.functions)
         self.store = store
         found = (loaded.hard_state, loaded.snapshot, loaded.entries)
-        assert found in (self.state, *self.possible)
+        assert found in (self.state, *self.possible_states)
         self.state = found
-        self.possible = []
+        self.possible_states = []
 
-    @rule(kill=_STEPS, fail=_STEPS, is_power_loss=st.booleans())
+    @rule(
+        kill_in=_FAULT_STEPS, fail_in=_FAULT_STEPS, is_power_loss=st.booleans()
+    )
     def restart(
         self,
-        kill: int,
-        fail: int,
+        kill_in: int,
+        fail_in: int,
         is_power_loss: bool,
     ) -> None:
-        """Stop, and start with a kill or a full disk on the way."""
+        """Restart with a kill or a full disk during the start."""
         self.store = None
         if is_power_loss:
             self.files.power_loss()
-        self.files.kill_in = kill
-        self.files.fail_in = fail
+        self.files.kill_in = kill_in
+        self.files.fail_in = fail_in
         try:
             open_log_store(self.folder, self.files.functions)[0].close()
         except (KilledError, StorageError):
             self.files.power_loss()
         self.reopen()
 
-    @rule(term=st.integers(1, 9), kill=_STEPS, fail=_STEPS)
-    def save(self, term: int, kill: int, fail: int) -> None:
-        """Save a term and vote."""
+    @rule(term=st.integers(1, 9), kill_in=_FAULT_STEPS, fail_in=_FAULT_STEPS)
+    def save_hard_state(self, term: int, kill_in: int, fail_in: int) -> None:
+        """Save a term and a vote."""
         saved = HardState(term, 'control-2')
-        self.run_step((saved, *self.state[1:]), kill, fail)
+        self.run_step((saved, *self.state[1:]), kill_in, fail_in)
 
     @rule(
-        back=st.integers(0, 3),
+        truncated_count=st.integers(0, 3),
         count=st.integers(1, 4),
-        kill=_STEPS,
-        fail=_STEPS,
+        kill_in=_FAULT_STEPS,
+        fail_in=_FAULT_STEPS,
     )
     def append(
         self,
-        back: int,
+        truncated_count: int,
         count: int,
-        kill: int,
-        fail: int,
+        kill_in: int,
+        fail_in: int,
     ) -> None:
-        """Append entries, cutting a few of the newest."""
+        """Append entries, replacing some of the newest."""
         hard_state, snapshot, entries = self.state
-        kept = entries[: max(0, len(entries) - back)]
+        kept = entries[: max(0, len(entries) - truncated_count)]
         base = snapshot.last_index if snapshot else 0
         added: tuple[LogEntry, ...] = ()
-        for place in range(count):
-            index = base + len(kept) + 1 + place
-            added = (*added, LogEntry(index, 1, b'x' * (back + 1)))
-            self.possible.append((hard_state, snapshot, kept + added))
-        self.run_step((hard_state, snapshot, kept + added), kill, fail, added)
+        for offset in range(count):
+            index = base + len(kept) + 1 + offset
+            added = (*added, LogEntry(index, 1, b'x' * (truncated_count + 1)))
+            self.possible_states.append((hard_state, snapshot, kept + added))
+        self.run_step(
+            (hard_state, snapshot, kept + added), kill_in, fail_in, added
+        )
 
-    @rule(covered=st.integers(0, 5), kill=_STEPS, fail=_STEPS)
+    @rule(
+        covered_count=st.integers(0, 5),
+        kill_in=_FAULT_STEPS,
+        fail_in=_FAULT_STEPS,
+    )
     def snapshot(
         self,
-        covered: int,
-        kill: int,
-        fail: int,
+        covered_count: int,
+        kill_in: int,
+        fail_in: int,
     ) -> None:
-        """Put a snapshot in place of the oldest entries."""
+        """Replace the oldest entries by a snapshot."""
         hard_state, _, entries = self.state
-        if covered < len(entries):
-            last = entries[covered]
+        if covered_count < len(entries):
+            last = entries[covered_count]
             image = Snapshot(last.log_index, 1, Configuration('', ()), b'i')
             self.run_step(
-                (hard_state, image, entries[covered + 1 :]), kill, fail
+                (hard_state, image, entries[covered_count + 1 :]),
+                kill_in,
+                fail_in,
             )
 
     def run_step(
         self,
         after: State,
-        kill: int,
-        fail: int,
+        kill_in: int,
+        fail_in: int,
         added: tuple[LogEntry, ...] = (),
     ) -> None:
-        """Write; what ends without an error is acknowledged."""
+        """Write a state, which is acknowledged if no error is raised."""
         assert self.store
-        self.files.kill_in = kill
-        self.files.fail_in = fail
-        self.possible.append(after)
+        self.files.kill_in = kill_in
+        self.files.fail_in = fail_in
+        self.possible_states.append(after)
         try:
             self.write(after, added)
         except (KilledError, StorageError) as error:
@@ -144,10 +156,10 @@
         self.files.kill_in = None
         self.files.fail_in = None
         self.state = after
-        self.possible = []
+        self.possible_states = []
 
     def write(self, after: State, added: tuple[LogEntry, ...]) -> None:
-        """Write what differs."""
+        """Write what differs from the current state."""
         assert self.store
         hard_state, snapshot, entries = after
         if added:
@@ -158,14 +170,14 @@
             self.store.save_snapshot(snapshot, entries)
 
     def teardown(self) -> None:
-        """Lose the power, and check what comes back."""
+        """Check what is loaded after a power loss."""
         self.files.power_loss()
         self.reopen()
-        self.holder.cleanup()
+        self.temporary_folder.cleanup()
 
 
 TestStore = StoreMachine.TestCase
-# A soak asks for more histories by its profile.
+# A Hypothesis profile may ask for more examples, as in a soak test.
 TestStore.settings = settings(
     max_examples=max(2000, settings().max_examples),
     stateful_step_count=15,
