--- a/src/sardinemast/consensus/_bootstrap.py
+++ b/src/sardinemast/consensus/_bootstrap.py
@@ -142,7 +142,7 @@
             state.send(peer, FoundRequest(state.log.configuration))
 
     def _activate_if_all_accepted(self) -> None:
-        missing = {one.identity for one in self._state.get_peers()}
+        missing = {peer.identity for peer in self._state.get_peers()}
         self.is_active = (
             self.is_active or not missing - self._accepted_identities
         )
--- a/src/sardinemast/consensus/_log.py
+++ b/src/sardinemast/consensus/_log.py
@@ -71,14 +71,14 @@
         payload; the first entry is included whatever its size.
         """
         start = first_index - self._base_index - 1
-        found: list[LogEntry] = []
+        selected: list[LogEntry] = []
         size = 0
         for entry in self._entries[start : start + count]:
             size += len(entry.payload)
-            if found and size > batch_bytes:
+            if selected and size > batch_bytes:
                 break
-            found.append(entry)
-        return tuple(found)
+            selected.append(entry)
+        return tuple(selected)
 
     def get_configuration_at(self, index: int) -> Configuration:
         """Return the configuration in force at an index."""
--- a/src/sardinemast/consensus/_messages.py
+++ b/src/sardinemast/consensus/_messages.py
@@ -25,7 +25,7 @@
     def find(self, identity: str) -> Member | None:
         """Return the member with the identity, if any."""
         return next(
-            (one for one in self.members if one.identity == identity),
+            (member for member in self.members if member.identity == identity),
             None,
         )
 
@@ -36,7 +36,7 @@
 
     def get_quorum_size(self) -> int:
         """Return how many voters form a majority."""
-        return sum(one.is_voter for one in self.members) // 2 + 1
+        return sum(member.is_voter for member in self.members) // 2 + 1
 
 
 class LogEntry(NamedTuple):
--- a/src/sardinemast/consensus/_reconfiguration.py
+++ b/src/sardinemast/consensus/_reconfiguration.py
@@ -41,15 +41,15 @@
         # Two processes with the same name are a mistake of an operator; adding
         # the second one would end with the removal of a healthy replica.
         is_in_use = any(
-            self._replication.is_reachable(one.identity, now_s)
-            for one in same_name
+            self._replication.is_reachable(member.identity, now_s)
+            for member in same_name
         )
         if is_in_use or not self._may_join(event.sender):
             return
         kept = [
-            one
-            for one in configuration.members
-            if one.is_voter or one.name != event.sender
+            member
+            for member in configuration.members
+            if member.is_voter or member.name != event.sender
         ]
         learner = Member(identity, event.sender, is_voter=False)
         self._propose((*kept, learner), now_s)
@@ -70,10 +70,14 @@
         The other reachable voters must form a majority.
         """
         state = self._state
-        voters = [one for one in self._get_members_named(name) if one.is_voter]
+        voters = [
+            voter for voter in self._get_members_named(name) if voter.is_voter
+        ]
         if name == state.settings.name or not voters or not self._may_change():
             return False
-        others = self.get_reachable(now_s) - {one.identity for one in voters}
+        others = self.get_reachable(now_s) - {
+            voter.identity for voter in voters
+        }
         if not state.has_quorum(others):
             return False
         for member in voters:
@@ -91,14 +95,16 @@
     def get_reachable(self, now_s: float) -> set[str]:
         """Return the identities of reachable members and of the leader."""
         reachable = {
-            one.identity
-            for one in self._state.get_peers()
-            if self._replication.is_reachable(one.identity, now_s)
+            member.identity
+            for member in self._state.get_peers()
+            if self._replication.is_reachable(member.identity, now_s)
         }
         return reachable | {self._state.identity}
 
     def _send_join_hint(self, event: MessageReceived) -> None:
-        names = {one.name for one in self._state.log.configuration.members}
+        names = {
+            member.name for member in self._state.log.configuration.members
+        }
         if names and self._state.settings.voters_max:
             non_member = Member(
                 event.route.sender, event.sender, is_voter=False
@@ -118,15 +124,17 @@
             return ()
         members = self._state.log.configuration.members
         same_name = [
-            one for one in self._get_members_named(member.name) if one != member
+            other
+            for other in self._get_members_named(member.name)
+            if other != member
         ]
         if same_name:
             return self._remove_if_unreachable(same_name[0], now_s)
         if self._has_max_voters():
             return self._remove_longest_unreachable(now_s)
         return tuple(
-            one._replace(is_voter=True) if one == member else one
-            for one in members
+            other._replace(is_voter=True) if other == member else other
+            for other in members
         )
 
     def _remove_if_unreachable(
@@ -137,21 +145,23 @@
         if self._replication.is_reachable(replaced.identity, now_s):
             return ()
         members = self._state.log.configuration.members
-        return tuple(one for one in members if one != replaced)
+        return tuple(member for member in members if member != replaced)
 
     def _has_max_voters(self) -> bool:
         voters_max = self._state.settings.voters_max
         members = self._state.log.configuration.members
-        return 0 < voters_max <= sum(one.is_voter for one in members)
+        return 0 < voters_max <= sum(member.is_voter for member in members)
 
     def _remove_longest_unreachable(self, now_s: float) -> tuple[Member, ...]:
         # A replica that is gone for good may be replaced under another name.
         # While it counts as a voter, the cluster tolerates one failure less.
         get_progress = self._replication.get_progress
-        voters = [one for one in self._state.get_peers() if one.is_voter]
+        voters = [
+            member for member in self._state.get_peers() if member.is_voter
+        ]
         unreachable = min(
             voters,
-            key=lambda one: get_progress(one.identity).acknowledged_s,
+            key=lambda member: get_progress(member.identity).acknowledged_s,
         )
         contact_s = max(
             get_progress(unreachable.identity).acknowledged_s,
@@ -160,7 +170,7 @@
         if now_s < contact_s + self._state.settings.replace_after_s:
             return ()
         members = self._state.log.configuration.members
-        return tuple(one for one in members if one != unreachable)
+        return tuple(member for member in members if member != unreachable)
 
     def _is_caught_up(self, member: Member, now_s: float) -> bool:
         progress = self._replication.get_progress(member.identity)
@@ -175,12 +185,12 @@
         # A change without a reachable majority could not be committed, and
         # the leader would have to step down.
         reachable = self.get_reachable(now_s)
-        voters = [one.identity for one in members if one.is_voter]
+        voters = [member.identity for member in members if member.is_voter]
         return 2 * len(reachable.intersection(voters)) > len(voters)
 
     def _get_members_named(self, name: str) -> list[Member]:
         members = self._state.log.configuration.members
-        return [one for one in members if one.name == name]
+        return [member for member in members if member.name == name]
 
     def _may_change(self) -> bool:
         # The previous change and an entry of the current term must be
--- a/src/sardinemast/consensus/_replica.py
+++ b/src/sardinemast/consensus/_replica.py
@@ -211,12 +211,12 @@
                 self._reject(rejected.proposal_id)
             return
         first = self._replication.propose(
-            tuple((one.payload, None) for one in proposals),
+            tuple((proposal.payload, None) for proposal in proposals),
             now_s,
         )
         self._state.outputs.extend(
-            ProposalAccepted(one.proposal_id, first + offset, self.term)
-            for offset, one in enumerate(proposals)
+            ProposalAccepted(proposal.proposal_id, first + offset, self.term)
+            for offset, proposal in enumerate(proposals)
         )
         self._replication.update_commit_index()
 
--- a/src/sardinemast/consensus/_replication.py
+++ b/src/sardinemast/consensus/_replication.py
@@ -65,8 +65,8 @@
         first = state.log.last_index + 1
         state.append(
             tuple(
-                LogEntry(first + place, state.term, payload, configuration)
-                for place, (payload, configuration) in enumerate(payloads)
+                LogEntry(first + offset, state.term, payload, configuration)
+                for offset, (payload, configuration) in enumerate(payloads)
             ),
         )
         self._broadcast(now_s)
@@ -75,7 +75,8 @@
     def update_commit_index(self) -> None:
         """Commit the entries that a majority has synced."""
         matches = {
-            identity: one.match_index for identity, one in self.progress.items()
+            identity: progress.match_index
+            for identity, progress in self.progress.items()
         }
         self._commits.commit_by_majority(matches)
 
@@ -93,8 +94,8 @@
     def get_majority_contact_s(self, now_s: float) -> float:
         """Return when the newest message that a majority answered was sent."""
         contacts = {
-            identity: one.acknowledged_s
-            for identity, one in self.progress.items()
+            identity: progress.acknowledged_s
+            for identity, progress in self.progress.items()
         }
         contacts[self._state.identity] = now_s
         return self._state.get_majority_value(contacts)
--- a/src/sardinemast/consensus/_state.py
+++ b/src/sardinemast/consensus/_state.py
@@ -76,8 +76,8 @@
     def has_quorum(self, identities: set[str]) -> bool:
         """Check whether the identities include a majority of the voters."""
         configuration = self.log.configuration
-        found = sum(map(configuration.is_voter, identities))
-        return found >= configuration.get_quorum_size()
+        voter_count = sum(map(configuration.is_voter, identities))
+        return voter_count >= configuration.get_quorum_size()
 
     def get_majority_value(self, values: dict[str, float]) -> float:
         """Return the highest value that a majority of voters has reached."""
--- a/src/sardinemast/membership/_roster.py
+++ b/src/sardinemast/membership/_roster.py
@@ -60,9 +60,9 @@
     def upstreams(self) -> tuple[Announcement, ...]:
         """Return the newest announcement of each upstream not stopped."""
         return tuple(
-            one.announcement
-            for one in self._upstreams.values()
-            if one.announcement.status is not UpstreamStatus.stopped
+            upstream.announcement
+            for upstream in self._upstreams.values()
+            if upstream.announcement.status is not UpstreamStatus.stopped
         )
 
     def start_term(self, now_s: float) -> None:
@@ -214,18 +214,21 @@
         # would stop a working pool.
         if not self.is_complete(now_s):
             return set()
-        total_by_pool = Counter(one.pool for one in self.upstreams)
+        total_by_pool = Counter(
+            announcement.pool for announcement in self.upstreams
+        )
         silent = [
-            one.announcement
-            for one in self._upstreams.values()
-            if self._last_heard_s[one.handle] <= now_s - SUSPECT_AFTER_S
-            and one.announcement.status is not UpstreamStatus.stopped
+            upstream.announcement
+            for upstream in self._upstreams.values()
+            if self._last_heard_s[upstream.handle] <= now_s - SUSPECT_AFTER_S
+            and upstream.announcement.status is not UpstreamStatus.stopped
         ]
-        silent_by_pool = Counter(one.pool for one in silent)
+        silent_by_pool = Counter(announcement.pool for announcement in silent)
         return {
-            one.instance
-            for one in silent
-            if 2 * silent_by_pool[one.pool] <= total_by_pool[one.pool]
+            announcement.instance
+            for announcement in silent
+            if 2 * silent_by_pool[announcement.pool]
+            <= total_by_pool[announcement.pool]
         }
 
 
--- a/src/sardinemast/storage/_log_store.py
+++ b/src/sardinemast/storage/_log_store.py
@@ -177,7 +177,9 @@
 
 def _load(folder: Path, content: bytes) -> LoadedLog:
     identity = read_identity(folder)
-    records = [_RECORDS.decode(one) for one in read_records(content).records]
+    records = [
+        _RECORDS.decode(record) for record in read_records(content).records
+    ]
     is_original = (
         identity is not None
         and records
@@ -210,4 +212,4 @@
 
 
 def _encode(records: tuple[object, ...]) -> bytes:
-    return b''.join(frame_record(_RECORDS.encode(one)) for one in records)
+    return b''.join(frame_record(_RECORDS.encode(record)) for record in records)
--- a/tests/consensus/test_folder_replacement.py
+++ b/tests/consensus/test_folder_replacement.py
@@ -24,11 +24,11 @@
     for _ in range(3):
         cluster.propose()
         cluster.run(3)
-    known = dict(cluster.committed)
+    acknowledged = dict(cluster.committed)
     for node in sorted(cluster.nodes.values(), key=is_no_leader):
         node.lose_folder(may_found=True)
         cluster.settle()
-    assert known.items() <= cluster.committed.items()
+    assert acknowledged.items() <= cluster.committed.items()
 
 
 def test_replaced_folder_is_retired_when_restored() -> None:
@@ -63,8 +63,9 @@
         node.get_local_s(cluster.true_s + 60),
     )
     assert not any(
-        isinstance(one, SendMessage) and isinstance(one.message, VoteReply)
-        for one in outputs
+        isinstance(output, SendMessage)
+        and isinstance(output.message, VoteReply)
+        for output in outputs
     )
     assert node.replica.term < 99
 
--- a/tests/consensus/test_joining.py
+++ b/tests/consensus/test_joining.py
@@ -40,7 +40,9 @@
     cluster.add('control-9', 3)
     for _ in range(_CONVERGENCE_STEPS):
         cluster.tick()
-        cluster.bag = [one for one in cluster.bag if one.to in cluster.nodes]
+        cluster.bag = [
+            parcel for parcel in cluster.bag if parcel.to in cluster.nodes
+        ]
         cluster.deliver_all()
     assert removed.name not in cluster.get_voters()
     assert 'control-9' in cluster.get_voters()
@@ -80,7 +82,7 @@
     """
     cluster = _make_open_cluster(3)
     leader = next(
-        one for one in cluster.nodes.values() if not is_no_leader(one)
+        node for node in cluster.nodes.values() if not is_no_leader(node)
     )
     follower = next(filter(is_no_leader, cluster.nodes.values()))
     for _ in range(20):
@@ -98,10 +100,10 @@
         now_s = leader.get_local_s(cluster.true_s + number / 1000)
         event = CommandProposed(number, _PADDING)
         sent += sum(
-            isinstance(one, SendMessage)
-            and one.to == follower.name
-            and isinstance(one.message, AppendEntries)
-            and len(one.message.entries) > 1
-            for one in leader.replica.step(event, now_s)
+            isinstance(output, SendMessage)
+            and output.to == follower.name
+            and isinstance(output.message, AppendEntries)
+            and len(output.message.entries) > 1
+            for output in leader.replica.step(event, now_s)
         )
     assert sent <= 2
--- a/tests/consensus/test_restarts.py
+++ b/tests/consensus/test_restarts.py
@@ -21,7 +21,9 @@
         node for node in cluster.nodes.values() if node is not leader
     )
     cluster.cuts.add((leader.name, isolated.name))
-    while not any(isinstance(one.message, VoteRequest) for one in cluster.bag):
+    while not any(
+        isinstance(parcel.message, VoteRequest) for parcel in cluster.bag
+    ):
         cluster.deliver_all()
         cluster.tick()
     voter.crash()
--- a/tests/membership/test_membership_fuzz.py
+++ b/tests/membership/test_membership_fuzz.py
@@ -65,7 +65,9 @@
     def announce(self, announcement: Announcement) -> None:
         """Send an announcement to the next healthy entry."""
         healthy = [
-            one for one in self.cluster.processes if self.is_healthy(one)
+            process
+            for process in self.cluster.processes
+            if self.is_healthy(process)
         ]
         if healthy:
             self.rotation += 1
@@ -98,8 +100,8 @@
         """Restart an upstream at the same address."""
         name = _UPSTREAMS[index % len(_UPSTREAMS)]
         next_number = self.announced[name].incarnation + 1
-        fresh = make_announcement(name, self.announced[name].port)
-        self.announce_change(fresh._replace(incarnation=next_number))
+        restarted = make_announcement(name, self.announced[name].port)
+        self.announce_change(restarted._replace(incarnation=next_number))
 
     @rule(index=_INDEXES, earlier_index=_INDEXES)
     def repeat(self, index: int, earlier_index: int) -> None:
@@ -160,9 +162,12 @@
     def check(self) -> None:
         """Check the list of each entry."""
         for process in self.cluster.processes:
-            listed = {one.instance: one for one in process.core.upstreams}
-            for one in listed.values():
-                self.check_order(process.name, one)
+            listed = {
+                upstream.instance: upstream
+                for upstream in process.core.upstreams
+            }
+            for upstream in listed.values():
+                self.check_order(process.name, upstream)
             if self.is_healthy(process):
                 self.check_convergence(process.name, listed)
 
--- a/tests/membership/test_roster.py
+++ b/tests/membership/test_roster.py
@@ -25,8 +25,8 @@
 def _get_status(roster: Roster, now_s: float) -> dict[str, UpstreamStatus]:
     roster.publish_changes(now_s)
     return {
-        one.announcement.instance: one.announcement.status
-        for one in roster.get_published()
+        upstream.announcement.instance: upstream.announcement.status
+        for upstream in roster.get_published()
     }
 
 
@@ -98,8 +98,8 @@
     names = [f'enrol-{number}' for number in range(330)]
     roster = _make_roster(*names)
     for port, name in enumerate(names, start=1):
-        fresh = _make_changed(name, incarnation=2, port=port)
-        roster.accept_announcement(fresh, 11)
+        announcement = _make_changed(name, incarnation=2, port=port)
+        roster.accept_announcement(announcement, 11)
     changes = roster.publish_changes(11)
     assert (len(changes.changed), len(changes.removed_handles)) == (330, 330)
     assert set(_get_status(roster, 11).values()) == {'serving'}
--- a/tests/storage/test_log_store_fuzz.py
+++ b/tests/storage/test_log_store_fuzz.py
@@ -53,9 +53,9 @@
         self.files.fail_in = None
         store, loaded = open_log_store(self.folder, self.files.functions)
         self.store = store
-        found = (loaded.hard_state, loaded.snapshot, loaded.entries)
-        assert found in (self.state, *self.possible_states)
-        self.state = found
+        loaded_state = (loaded.hard_state, loaded.snapshot, loaded.entries)
+        assert loaded_state in (self.state, *self.possible_states)
+        self.state = loaded_state
         self.possible_states = []
 
     @rule(
