--- a/bench/policies.py
+++ b/bench/policies.py
@@ -90,7 +90,7 @@
     Variant(
         'no stragglers found',
         owner=StragglerDetector,
-        function='judge',
+        function='stop_stragglers',
         stand_in=_ignore,
     ),
 )
--- a/src/sardinemast/dispatch/__init__.py
+++ b/src/sardinemast/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Start, watch and stop the tasks of jobs on workers, at the leader."""
+"""Schedule tasks on workers and maintain instances, at the leader."""
 
 from sardinemast.dispatch._core import Dispatcher
 from sardinemast.dispatch._events import (
--- a/src/sardinemast/dispatch/_core.py
+++ b/src/sardinemast/dispatch/_core.py
@@ -1,4 +1,4 @@
-"""Decide what the leader orders of workers, without input or output."""
+"""Turn events into orders for workers and instances, without I/O."""
 
 from sardinemast.dispatch._events import (
     AdviceAnswered,
@@ -13,17 +13,17 @@
     MoveAnswered,
 )
 from sardinemast.dispatch._load_measurement import (
-    MEASURE_EVERY_S,
-    measure_pools,
+    MEASURE_INTERVAL_S,
+    measure_loads,
 )
-from sardinemast.dispatch._maintenance import Upkeep
-from sardinemast.dispatch._polling import Looks
-from sardinemast.dispatch._pool_balancer import Moves
-from sardinemast.dispatch._run_recorder import Starts
+from sardinemast.dispatch._maintenance import MaintenanceRunner
+from sardinemast.dispatch._polling import WorkerPoller
+from sardinemast.dispatch._pool_balancer import PoolBalancer
+from sardinemast.dispatch._run_recorder import RunRecorder
 from sardinemast.dispatch._settings import DispatchSettings
 from sardinemast.dispatch._state import DispatchState
 from sardinemast.dispatch._stragglers import StragglerDetector
-from sardinemast.dispatch._tickets import Tickets
+from sardinemast.dispatch._tickets import TicketCache
 from sardinemast.jobs import Command, JobsState
 from sardinemast.jobs.commands import (
     CancelJob,
@@ -35,62 +35,61 @@
     RegisterWorker,
 )
 
-# Workers that answer are looked at again at once; only leases that end and
-# looks that are tried again wait for this. A pass over 1,900 workers takes
-# 5 ms, and leases are bounded on the safe side by 300 ms.
-_PASS_EVERY_S = 0.1
+# Bounds how late expired leases and polls to retry are noticed. A worker that
+# answers is polled again at once.
+_POLL_INTERVAL_S = 0.1
 
 
 class Dispatcher:
-    """Lead the workers: look, start, stop, pace and maintain for a term."""
+    """Poll workers, start and stop runs, size pools and run maintenance."""
 
     def __init__(self, settings: DispatchSettings) -> None:
         self._state = DispatchState(settings)
-        self._looks = Looks(self._state)
-        self._tickets = Tickets(self._state)
-        self._starts = Starts(self._state, self._tickets)
+        self._poller = WorkerPoller(self._state)
+        self._tickets = TicketCache(self._state)
+        self._recorder = RunRecorder(self._state, self._tickets)
         self._stragglers = StragglerDetector(self._state)
-        self._upkeep = Upkeep(self._state)
-        self._moves = Moves(self._state)
-        self._measured_s: float = 0
-        self._passed_s = float('-inf')
+        self._maintenance = MaintenanceRunner(self._state)
+        self._balancer = PoolBalancer(self._state)
+        self._last_measured_s: float = 0
+        self._last_polled_s = float('-inf')
         self._opening: set[tuple[str, int]] = set()
 
     def start_term(self, state: JobsState, term: int, now_s: float) -> None:
-        """Lead the workers from now on."""
+        """Start to lead with the given replicated state."""
         self._state.start_term(state, term, now_s)
-        self._looks.start_term()
-        self._starts.start_term()
+        self._poller.start_term()
+        self._recorder.start_term()
         self._tickets.start_term()
         self._stragglers.start_term()
-        self._upkeep.start_term()
-        self._moves.start_term()
+        self._maintenance.start_term()
+        self._balancer.start_term()
         self._opening.clear()
-        self._passed_s = float('-inf')
+        self._last_polled_s = float('-inf')
 
     def record_order_time(self, command: Command, now_s: float) -> None:
-        """Follow a command that was applied, also where another leads."""
+        """Record when an order for an instance was applied, on any replica."""
         if isinstance(command, NoteMove | NoteUpkeep):
-            self._state.order_times.note(command.instance, now_s)
+            self._state.order_times.record(command.instance, now_s)
 
     def reset_order_times(self, now_s: float) -> None:
-        """Note that commands up to now were not followed one by one."""
-        self._state.order_times.reset_order_times(now_s)
+        """Treat all order times as unknown, after restoring a snapshot."""
+        self._state.order_times.mark_unknown_until(now_s)
 
     def tick(self, now_s: float, now_ms: int) -> list[DispatchOutput]:
-        """Do what time has made due."""
+        """Perform all work that is due."""
         self._state.outputs = []
         self._state.now_ms = now_ms
-        self._open_due(now_ms)
-        if now_s >= self._passed_s + _PASS_EVERY_S:
-            self._passed_s = now_s
-            self._pass_over(now_s)
-        if now_s >= self._measured_s + MEASURE_EVERY_S:
-            self._measured_s = now_s
-            self._state.loads = measure_pools(self._state, now_s)
-            self._moves.tick(now_s, now_ms)
-        self._upkeep.tick(now_s, now_ms)
-        self._record(now_s, now_ms)
+        self._open_due_occurrences(now_ms)
+        if now_s >= self._last_polled_s + _POLL_INTERVAL_S:
+            self._last_polled_s = now_s
+            self._poll_workers(now_s)
+        if now_s >= self._last_measured_s + MEASURE_INTERVAL_S:
+            self._last_measured_s = now_s
+            self._state.loads = measure_loads(self._state, now_s)
+            self._balancer.tick(now_s, now_ms)
+        self._maintenance.tick(now_s, now_ms)
+        self._propose_runs(now_s, now_ms)
         return self._state.outputs
 
     def step(
@@ -99,22 +98,22 @@
         now_s: float,
         now_ms: int,
     ) -> list[DispatchOutput]:
-        """Take an answer of a worker, or of who runs the instances."""
+        """Handle an answer of a worker or of a platform service."""
         self._state.outputs = []
         self._state.now_ms = now_ms
         if isinstance(event, MaintenanceAnswered):
-            self._upkeep.take_answer(event, now_s)
+            self._maintenance.handle_answer(event, now_s)
         elif isinstance(event, MoveAnswered):
-            self._moves.take_answer(event, now_s)
+            self._balancer.handle_answer(event, now_s)
         elif isinstance(event, InstancesListed):
-            self._moves.take_list(event)
-            self._upkeep.take_list(event, now_s)
+            self._balancer.handle_list(event)
+            self._maintenance.handle_list(event, now_s)
         elif isinstance(event, AdviceAnswered):
-            if self._tickets.take_answer(event, now_s):
-                self._state.is_changed = True
+            if self._tickets.handle_answer(event, now_s):
+                self._state.needs_planning = True
         else:
-            self._take_worker_answer(event, now_s)
-        self._record(now_s, now_ms)
+            self._handle_worker_answer(event, now_s)
+        self._propose_runs(now_s, now_ms)
         return self._state.outputs
 
     def handle_applied(
@@ -123,85 +122,85 @@
         now_s: float,
         now_ms: int,
     ) -> list[DispatchOutput]:
-        """Go on after a command of the log was applied."""
+        """React to a command that was applied, while this process leads."""
         self._state.outputs = []
         self._state.now_ms = now_ms
-        self._state.is_changed = True
+        self._state.needs_planning = True
         if isinstance(command, RecordRuns):
-            if self._starts.take_recorded(command, now_s):
-                self._looks.take_note(now_s)
+            if self._recorder.handle_recorded(command, now_s):
+                self._poller.acknowledge_ends(now_s)
         elif isinstance(command, CancelJob):
             self._state.stop_job(command.name, now_s)
         elif isinstance(command, ForgetWorker):
-            self._looks.note_forgotten(command)
+            self._poller.handle_forgotten(command)
         elif isinstance(command, OpenOccurrence):
             self._opening.discard((command.job, command.occurrence))
         elif isinstance(command, RegisterWorker):
-            self._looks.follow_workers(now_s)
+            self._poller.sync_sessions(now_s)
         elif isinstance(command, NoteUpkeep):
-            self._upkeep.note_applied(command)
+            self._maintenance.handle_applied(command)
         elif isinstance(command, NoteMove):
-            self._moves.note_applied(command)
-        self._record(now_s, now_ms)
+            self._balancer.handle_applied(command)
+        self._propose_runs(now_s, now_ms)
         return self._state.outputs
 
     def record_announcement(self, worker: str, now_s: float) -> None:
-        """Note that a worker has announced itself."""
-        contact = self._state.contacts.get(worker)
-        if contact is not None:
-            contact.announced_s = now_s
-            contact.is_leaving = False
+        """Record an announcement of a worker."""
+        session = self._state.sessions.get(worker)
+        if session is not None:
+            session.last_announced_s = now_s
+            session.is_leaving = False
 
     def record_leaving(self, worker: str, now_s: float) -> None:
-        """Note that a worker has said that it ends now.
+        """Record that a worker is shutting down.
 
-        It may say so a little before it does. What it runs counts until its
-        lease has ended or another worker has taken its place.
+        Its runs still count until its lease expires or another worker takes
+        its place, since it may announce the shutdown before it stops.
         """
-        contact = self._state.contacts.get(worker)
-        if contact is not None:
-            contact.is_leaving = True
-            contact.looks.due_s = now_s
-
-    def _pass_over(self, now_s: float) -> None:
-        self._looks.follow_workers(now_s)
-        for contact in tuple(self._state.contacts.values()):
-            self._looks.check_lease(contact, now_s)
-            self._looks.look(contact, now_s)
-
-    def _take_worker_answer(
+        session = self._state.sessions.get(worker)
+        if session is not None:
+            session.is_leaving = True
+            session.poll_state.due_s = now_s
+
+    def _poll_workers(self, now_s: float) -> None:
+        self._poller.sync_sessions(now_s)
+        for session in tuple(self._state.sessions.values()):
+            self._poller.expire_lease(session, now_s)
+            self._poller.poll(session, now_s)
+
+    def _handle_worker_answer(
         self,
         event: WorkerPolled | StartAnswered,
         now_s: float,
     ) -> None:
-        contact = self._state.contacts.get(event.worker)
-        if contact is None:
+        session = self._state.sessions.get(event.worker)
+        if session is None:
             return
         if isinstance(event, WorkerPolled):
-            ends = self._looks.take(contact, event, now_s)
-            self._starts.note_ends(contact, ends, now_s)
-            self._stragglers.note_ends(contact, ends, now_s)
+            ends = self._poller.handle_polled(session, event, now_s)
+            self._recorder.record_ends(session, ends, now_s)
+            self._stragglers.record_ends(session, ends, now_s)
             if event.answer is not None:
-                self._stragglers.judge(contact, now_s)
+                self._stragglers.stop_stragglers(session, now_s)
         else:
-            self._starts.take_answer(contact, event, now_s)
-            self._looks.look(contact, now_s)
+            self._recorder.handle_answer(session, event, now_s)
+            self._poller.poll(session, now_s)
 
-    def _record(self, now_s: float, now_ms: int) -> None:
-        if self._starts.is_recording:
+    def _propose_runs(self, now_s: float, now_ms: int) -> None:
+        if self._recorder.is_recording:
             return
-        self._starts.record(now_s, now_ms)
-        self._looks.note_proposed()
-        # Ends of runs that the log has ended before need no entry.
-        if not self._starts.is_recording:
-            self._looks.take_note(now_s)
+        self._recorder.propose_due(now_s, now_ms)
+        self._poller.mark_ends_proposed()
+        # Without a proposal, all reported ends are already in the log.
+        if not self._recorder.is_recording:
+            self._poller.acknowledge_ends(now_s)
 
-    def _open_due(self, now_ms: int) -> None:
+    def _open_due_occurrences(self, now_ms: int) -> None:
         for job in self._state.jobs.live.values():
             request = job.request
-            place = len(job.steps)
-            due_ms = request.first_due_ms + place * request.interval_ms
-            if place < request.occurrences and now_ms >= due_ms:
-                if (job.name, place) not in self._opening:
-                    self._opening.add((job.name, place))
-                    self._state.propose(OpenOccurrence(job.name, place))
+            occurrence = len(job.steps)
+            due_ms = request.first_due_ms + occurrence * request.interval_ms
+            if occurrence < request.occurrences and now_ms >= due_ms:
+                if (job.name, occurrence) not in self._opening:
+                    self._opening.add((job.name, occurrence))
+                    self._state.propose(OpenOccurrence(job.name, occurrence))
--- a/src/sardinemast/dispatch/_disruptions.py
+++ b/src/sardinemast/dispatch/_disruptions.py
@@ -1,32 +1,32 @@
-"""How many tasks of a lasting step are away, and who may go next."""
+"""Limit how many tasks of a long-running step are unavailable."""
 
 from sardinemast.dispatch._state import DispatchState
 from sardinemast.jobs import StepState, TaskKey
 
-_AT_WORK_PERCENT = 100
+_SERVING_PERCENT = 100
 
 
-def is_at_work(
+def is_serving(
     state: DispatchState,
     step: StepState,
     position: int,
     now_s: float,
 ) -> bool:
-    """Tell whether a task serves: started up, heard and not told to stop."""
+    """Check that a task is reported as started and is not being stopped."""
     run = step.running.get(position)
-    contact = state.contacts.get(run.worker) if run else None
-    if run is None or contact is None:
+    session = state.sessions.get(run.worker) if run else None
+    if run is None or session is None:
         return False
     task = step.get_task(position)
-    listed = contact.listed.get(task)
-    if listed is None or listed.number != run.number:
+    reported = session.reported_runs.get(task)
+    if reported is None or reported.number != run.number:
         return False
-    # A list that crosses the order still shows the run at work.
-    stopping = contact.stopping.get(task)
-    if stopping is not None and stopping.number == run.number:
+    # A report sent before the stop arrived still lists the run.
+    last_stop = session.sent_stops.get(task)
+    if last_stop is not None and last_stop.number == run.number:
         return False
-    is_heard = now_s < contact.heard_s + state.settings.quiet_s
-    return is_heard and listed.percent >= _AT_WORK_PERCENT
+    is_recent = now_s < session.last_heard_s + state.settings.quiet_s
+    return is_recent and reported.percent >= _SERVING_PERCENT
 
 
 def may_stop(
@@ -35,21 +35,18 @@
     task: TaskKey,
     now_s: float,
 ) -> bool:
-    """Tell whether a task may be ended by our own doing.
+    """Check whether a task may be stopped without exceeding its step's limit.
 
-    A lasting step promises its users that only so many of its tasks are away
-    at once. Whatever took one away counts, also a crash: the users miss it
-    all the same.
+    All unavailable tasks count against the limit, crashed ones included.
 
-    The task itself is taken to serve, whatever is known of it: its list is up
-    to a second old, and an order to stop it that had no answer may be lost.
-    Ended on that ground, it would be the second one that users miss.
+    The task itself is assumed to be serving: its last report may be outdated,
+    and an unanswered stop may have been lost.
     """
     if not step.spec.is_long_running or not step.spec.max_unavailable:
         return True
-    away = sum(
-        not is_at_work(state, step, position, now_s)
+    unavailable = sum(
+        not is_serving(state, step, position, now_s)
         for position in range(step.spec.task_count)
         if position != task.position
     )
-    return away < step.spec.max_unavailable
+    return unavailable < step.spec.max_unavailable
--- a/src/sardinemast/dispatch/_events.py
+++ b/src/sardinemast/dispatch/_events.py
@@ -1,4 +1,4 @@
-"""What goes into the dispatcher and what comes out of it."""
+"""Events that the dispatcher handles and orders that it issues."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -14,15 +14,16 @@
 from sardinemast.dispatch._outcomes import OrderOutcome
 from sardinemast.jobs import Command, StepKey, TaskKey, Worker
 
-# Why a worker refuses a start without leave of the outside policy.
+# Reason of a worker that refuses a start for lack of a valid ticket.
 TICKET_REASON = 'ticket'
 
 
 class ReportedRun(NamedTuple):
-    """Hold what a worker says of a run.
+    """Hold a run that a worker reports.
 
-    ``gauge`` is the tail of a serving task's response times in milliseconds,
-    for any other task its use of processors.
+    ``percent`` is its progress, or that of the startup of a long-running
+    task. ``gauge`` is the tail latency in milliseconds of a latency-sensitive
+    task, and the CPU usage of any other task.
     """
 
     task: TaskKey
@@ -33,7 +34,7 @@
 
 
 class ReportedEnd(NamedTuple):
-    """Hold an end that a worker lists; ``position`` grows by one each."""
+    """Hold the end of a run; ``position`` numbers the ends of a worker."""
 
     position: int
     task: TaskKey
@@ -43,7 +44,7 @@
 
 
 class WorkerReport(NamedTuple):
-    """Hold what a worker says of itself: its clock, its runs, their ends."""
+    """Hold the answer to a poll: clock, active runs and ended runs."""
 
     boot_ms: int
     clock_ms: int
@@ -52,10 +53,12 @@
 
 
 class PollWorker(NamedTuple):
-    """Ask a worker for its runs and ends, and prolong its lease.
+    """Ask a worker for its runs and ended runs, and renew its lease.
 
-    Without ``expires_ms`` the lease stays as it is. Ends up to ``seen`` are
-    recorded and may be forgotten there.
+    The worker answers as soon as it has an end to report, or after
+    ``wait_ms``. ``expires_ms`` is the new expiry of the lease on the worker's
+    clock; with ``None`` the lease is not renewed. Ends up to
+    ``acked_position`` are recorded, so that the worker may drop them.
     """
 
     worker: Worker
@@ -68,7 +71,7 @@
 
 
 class WorkerPolled(NamedTuple):
-    """Hand over the answer to a look, or that there is none."""
+    """Report the result of a poll; ``answer`` is missing if it failed."""
 
     worker: str
     fence: int
@@ -92,7 +95,7 @@
 
 
 class StartAnswered(NamedTuple):
-    """Hand over the answer to a start."""
+    """Report the worker's answer to a start."""
 
     worker: str
     task: TaskKey
@@ -113,7 +116,7 @@
 
 
 class ThrottleRun(NamedTuple):
-    """Tell a worker to let a run work at a share of its speed."""
+    """Tell a worker to limit a run to a percentage of its speed."""
 
     worker: Worker
     task: TaskKey
@@ -124,9 +127,9 @@
 
 
 class RequestAdvice(NamedTuple):
-    """Ask the outside policy which of some workers may run a step.
+    """Ask the external policy which of these workers may run a step.
 
-    A ticket counts for ``valid_s``.
+    Granted tickets are valid for ``valid_s``.
     """
 
     step: StepKey
@@ -136,14 +139,14 @@
 
 
 class Ticket(NamedTuple):
-    """Hold the policy's leave for a step to run at a worker."""
+    """Hold the permission of the external policy to use a worker."""
 
     worker: str
     ticket: str
 
 
 class AdviceAnswered(NamedTuple):
-    """Hand over the tickets, or that the policy gave no answer."""
+    """Report the granted tickets, or that the policy did not answer."""
 
     step: StepKey
     tickets: tuple[Ticket, ...] = ()
@@ -151,7 +154,7 @@
 
 
 class LogDecision(NamedTuple):
-    """Have a decision logged: what, about whom, and what decided it."""
+    """Write a decision to the process log, with its subject and details."""
 
     event: str
     subject: str
@@ -159,7 +162,7 @@
 
 
 class Propose(NamedTuple):
-    """Put a command into the log."""
+    """Propose a command for the log."""
 
     command: Command
 
--- a/src/sardinemast/dispatch/_instance_events.py
+++ b/src/sardinemast/dispatch/_instance_events.py
@@ -1,4 +1,4 @@
-"""Orders for instances and their answers."""
+"""Orders for instances and the events that answer them."""
 
 from typing import NamedTuple
 
@@ -6,10 +6,10 @@
 
 
 class OrderMaintenance(NamedTuple):
-    """Have an instance maintained; all that runs on it ends at once.
+    """Order the maintenance of an instance, which ends all runs on it.
 
-    ``token`` fences the order, and ``boot_ms`` is the boot of the worker that
-    is taken down.
+    ``token`` is the fencing token. ``boot_ms`` identifies the boot of the
+    worker that the maintenance ends, 0 if there is none.
     """
 
     instance: str
@@ -20,7 +20,7 @@
 
 
 class MaintenanceAnswered(NamedTuple):
-    """Hand over what became of an order for an instance."""
+    """Report the outcome of a maintenance order."""
 
     instance: str
     wave: int
@@ -31,7 +31,7 @@
 
 
 class OrderMove(NamedTuple):
-    """Have an instance change its pool; all that runs on it ends at once."""
+    """Order the move of an instance to a pool, which ends all its runs."""
 
     instance: str
     pool: str
@@ -40,7 +40,7 @@
 
 
 class MoveAnswered(NamedTuple):
-    """Hand over what became of a move."""
+    """Report the outcome of a move order."""
 
     instance: str
     pool: str
@@ -48,16 +48,16 @@
 
 
 class ListInstances(NamedTuple):
-    """Ask for all instances, those that stand by included."""
+    """Request the list of all instances, standby ones included."""
 
     timeout_s: float
     asked_s: float
 
 
 class ListedInstance(NamedTuple):
-    """Hold an instance as whoever runs it lists it.
+    """Hold an instance as the platform lists it.
 
-    It may be neither up nor down, while it is moved or maintained.
+    It is neither up nor down while it is being moved or maintained.
     """
 
     name: str
@@ -67,7 +67,7 @@
 
 
 class InstancesListed(NamedTuple):
-    """Hand over the list of instances, as asked for at ``asked_s``."""
+    """Report all instances, as requested at ``asked_s``."""
 
     instances: tuple[ListedInstance, ...]
     asked_s: float
--- a/src/sardinemast/dispatch/_load_measurement.py
+++ b/src/sardinemast/dispatch/_load_measurement.py
@@ -1,70 +1,69 @@
-"""Measure the loads of all pools, now and then."""
+"""Measure the load of all pools."""
 
 from collections import defaultdict
 
 from sardinemast.dispatch._pool_load import PoolLoad
 from sardinemast.dispatch._state import DispatchState
-from sardinemast.dispatch._worker_session import Contact
+from sardinemast.dispatch._worker_session import WorkerSession
 from sardinemast.jobs import StepState, Worker
 
-# Short against the second or two that a move takes, long against the time
-# that the measure itself takes.
-MEASURE_EVERY_S = 0.15
+# Short compared to a move of an instance, which takes one or two seconds.
+MEASURE_INTERVAL_S = 0.15
 
 
-class _Tally:
-    """Sum up one pool."""
+class _PoolTally:
+    """Add up the load of one pool."""
 
     def __init__(self) -> None:
-        self.room = 0
+        self.capacity = 0
         self.free = 0
-        self.wanted = 0
-        self.passing = 0
+        self.queued = 0
+        self.batch = 0
         self.workers = 0
-        self.empty: list[Worker] = []
+        self.idle_workers: list[Worker] = []
 
-    def add_contact(
+    def add_session(
         self,
         state: DispatchState,
-        contact: Contact,
+        session: WorkerSession,
         now_s: float,
     ) -> None:
-        worker = contact.worker
+        worker = session.worker
         runs = state.get_runs(worker.name)
-        if not contact.is_usable(now_s, has_runs=bool(runs)):
-            # A resting one is back in a moment, from maintenance.
-            self.workers += contact.is_resting
+        if not session.is_usable(now_s, has_runs=bool(runs)):
+            # A cordoned worker counts, since it returns after maintenance.
+            self.workers += session.is_cordoned
             return
-        self.room += worker.capacity.millicores
+        self.capacity += worker.capacity.millicores
         self.free += max(state.jobs.get_free(worker).millicores, 0)
         self.workers += 1
         if not runs:
-            self.empty.append(worker)
+            self.idle_workers.append(worker)
 
     def add_step(self, step: StepState) -> None:
         if step.spec.is_best_effort:
             return
         millicores = step.spec.size.millicores
-        self.wanted += len(step.waiting) * millicores
+        self.queued += len(step.waiting) * millicores
         if not step.spec.is_long_running:
-            self.passing += len(step.running) * millicores
+            self.batch += len(step.running) * millicores
 
-    def sum_up(self) -> PoolLoad:
+    def make_load(self) -> PoolLoad:
         return PoolLoad(
-            self.room,
+            self.capacity,
             self.free,
-            self.wanted,
-            self.passing,
+            self.queued,
+            self.batch,
             self.workers,
-            tuple(self.empty),
+            tuple(self.idle_workers),
         )
 
 
-def measure_pools(state: DispatchState, now_s: float) -> dict[str, PoolLoad]:
-    """Give the load of each pool that has workers or work."""
-    tallies: dict[str, _Tally] = defaultdict(_Tally)
-    for contact in state.contacts.values():
-        tallies[contact.worker.pool].add_contact(state, contact, now_s)
+def measure_loads(state: DispatchState, now_s: float) -> dict[str, PoolLoad]:
+    """Return the load of each pool that has workers or ready steps."""
+    tallies: dict[str, _PoolTally] = defaultdict(_PoolTally)
+    for session in state.sessions.values():
+        tallies[session.worker.pool].add_session(state, session, now_s)
     for step in state.jobs.ready.values():
         tallies[state.jobs.get_queue(step).pool].add_step(step)
-    return {pool: tally.sum_up() for pool, tally in tallies.items()}
+    return {pool: tally.make_load() for pool, tally in tallies.items()}
--- a/src/sardinemast/dispatch/_order_times.py
+++ b/src/sardinemast/dispatch/_order_times.py
@@ -1,38 +1,36 @@
-"""When orders for instances were last put into the log.
+"""Track when orders for instances were last recorded in the log.
 
-Nothing checks fences for instances, so that only time keeps the orders of two
-leaders apart. A leader sends no order that is not in the log; an instance
-that the log has not named for some time has had none, and a new leader may
-order it at once. Otherwise a pool that lacks room after each change of leader
-would wait 3.8 s for it.
+Instances do not check fencing tokens, so only time separates the orders of
+two leaders. Orders are recorded before they are sent. A new leader may
+therefore order an instance at once if no recent entry names it.
 """
 
 
 class OrderTimes:
-    """Hold, by this process's clock, when each instance was last named.
+    """Hold when the last order for each instance was applied here.
 
-    An entry is applied here after it was at the leader that sends the order,
-    so that these times are late rather than early.
+    Replicas apply an entry no earlier than the leader that sends the order,
+    so these times err on the late side.
     """
 
     def __init__(self) -> None:
-        self._named_s: dict[str, float] = {}
-        self._blind_s: float | None = None
+        self._ordered_s: dict[str, float] = {}
+        self._unknown_until_s: float | None = None
 
-    def note(self, instance: str, now_s: float) -> None:
-        """Note that an order for an instance stands in the log."""
-        self._named_s[instance] = now_s
+    def record(self, instance: str, now_s: float) -> None:
+        """Record that an order for an instance was applied."""
+        self._ordered_s[instance] = now_s
 
-    def reset_order_times(self, now_s: float) -> None:
-        """Note that entries up to now were not seen one by one.
+    def mark_unknown_until(self, now_s: float) -> None:
+        """Treat any instance as possibly ordered until now.
 
-        They came as a snapshot, and any instance may have been named there.
+        A snapshot does not show when its entries were applied.
         """
-        self._blind_s = now_s
+        self._unknown_until_s = now_s
 
-    def get_last_s(self, instance: str) -> float:
-        """Give until when an order of an earlier leader may have been sent."""
-        if self._blind_s is None:
+    def get_last_order_s(self, instance: str) -> float:
+        """Return the latest time at which an order may have been recorded."""
+        if self._unknown_until_s is None:
             return float('inf')
-        named_s = self._named_s.get(instance, float('-inf'))
-        return max(named_s, self._blind_s)
+        ordered_s = self._ordered_s.get(instance, float('-inf'))
+        return max(ordered_s, self._unknown_until_s)
--- a/src/sardinemast/dispatch/_outcomes.py
+++ b/src/sardinemast/dispatch/_outcomes.py
@@ -1,14 +1,14 @@
-"""How orders end."""
+"""Outcomes of orders."""
 
 from enum import StrEnum
 
 
 class OrderOutcome(StrEnum):
-    """Tell what became of an order to a worker.
+    """Describe the outcome of an order.
 
-    ``refused`` is a whole answer that says that nothing was done, and
-    ``gone`` the word of another worker at the address. After ``unknown`` the
-    order may have been carried out, or may be yet.
+    With ``refused`` the receiver answered that it did nothing. With ``gone``
+    another worker answered at the address. After ``unknown`` the order may
+    have been executed, or may still be executed later.
     """
 
     done = 'done'
--- a/src/sardinemast/dispatch/_peak_history.py
+++ b/src/sardinemast/dispatch/_peak_history.py
@@ -1,8 +1,7 @@
-"""What the jobs in the log tell of past peaks.
+"""Reconstruct past peaks from the jobs in the log.
 
-A leader that knew only what it saw itself would take each pool for one that
-was never seen to peak, and keep all instances on until the next round is
-over: half a minute of the two users' queues, after each change of leader.
+A new leader has not observed any peaks itself. Without this history it would
+keep extra workers in every pool until each one has peaked again.
 """
 
 from collections import defaultdict
@@ -11,37 +10,37 @@
 from sardinemast.dispatch._peaks import PeakTracker
 from sardinemast.jobs import JobsState, JobState
 
-# As often as loads are measured, or a little less; a peak lasts seconds.
+# Resolution of the reconstructed demand; a peak lasts seconds.
 _SLICE_MS = 200
-# Several rounds of queues that peak in turns of four to nine seconds.
-_BACK_MS = 120_000
+# Covers several rounds of queues that peak in turns.
+_HISTORY_MS = 120_000
 _MS = 1000
 
 _Demand = dict[int, float]
 
 
-def recall_peaks(
+def replay_peaks(
     state: JobsState,
-    rooms: Mapping[str, int],
+    capacities: Mapping[str, int],
     now_s: float,
     now_ms: int,
 ) -> PeakTracker:
-    """Give the peaks that the jobs of the last minutes must have caused.
+    """Return a tracker fed with the estimated demand of recent jobs.
 
-    ``rooms`` holds the usual millicores of each pool. A job is taken to ask
-    for its work evenly over its longest chain.
+    ``capacities`` holds the baseline millicores of each pool. The work of a
+    job is spread evenly over the duration of its critical path.
     """
     by_pool: dict[str, _Demand] = defaultdict(lambda: defaultdict(float))
-    since_ms = now_ms - _BACK_MS
+    since_ms = now_ms - _HISTORY_MS
     for job in state.jobs.values():
         if since_ms <= job.submitted_ms <= now_ms:
             _add_job(by_pool[job.queue.pool], job)
-    book = PeakTracker()
+    tracker = PeakTracker()
     for pool, demand in by_pool.items():
-        room = rooms.get(pool, 0)
-        if room:
-            _note_slices(book, pool, room, demand, now_s, now_ms)
-    return book
+        capacity = capacities.get(pool, 0)
+        if capacity:
+            _record_slices(tracker, pool, capacity, demand, now_s, now_ms)
+    return tracker
 
 
 def _add_job(demand: _Demand, job: JobState) -> None:
@@ -50,21 +49,21 @@
         for step in job.request.steps
         if not (step.is_long_running or step.is_best_effort)
     )
-    chain_ms = max(job.critical_paths_ms)
-    first = job.submitted_ms // _SLICE_MS
-    count = chain_ms // _SLICE_MS + 1
-    for place in range(first, first + count):
-        demand[place] += work / (count * _SLICE_MS)
+    duration_ms = max(job.critical_paths_ms)
+    first_index = job.submitted_ms // _SLICE_MS
+    count = duration_ms // _SLICE_MS + 1
+    for slice_index in range(first_index, first_index + count):
+        demand[slice_index] += work / (count * _SLICE_MS)
 
 
-def _note_slices(
-    book: PeakTracker,
+def _record_slices(
+    tracker: PeakTracker,
     pool: str,
-    room: int,
+    capacity: int,
     demand: _Demand,
     now_s: float,
     now_ms: int,
 ) -> None:
-    for place in range(min(demand), now_ms // _SLICE_MS + 1):
-        at_s = now_s - (now_ms - place * _SLICE_MS) / _MS
-        book.note(pool, demand.get(place, 0) / room, at_s)
+    for slice_index in range(min(demand), now_ms // _SLICE_MS + 1):
+        at_s = now_s - (now_ms - slice_index * _SLICE_MS) / _MS
+        tracker.record(pool, demand.get(slice_index, 0) / capacity, at_s)
--- a/src/sardinemast/dispatch/_peaks.py
+++ b/src/sardinemast/dispatch/_peaks.py
@@ -1,185 +1,179 @@
-"""When each pool's queue peaks, and when it will again.
+"""Detect peaks of each pool's demand and forecast the next ones.
 
-Queues peak in turns: each asks about five times its mean for some seconds,
-and next to nothing until its next turn. The peaks seen so far tell when a
-pool needs its instances, and when they may be switched off between.
+Queues tend to peak in turns: high demand for some seconds, then little until
+the next round. The forecast tells when a pool needs its instances again.
 """
 
 from itertools import pairwise
 from statistics import fmean
 
-# A peak asks for most of a pool's room, the time between for a few hundredths.
-_BEGIN_SHARE = 0.35
+# Shares of a pool's baseline capacity at which a peak starts and ends.
+_START_SHARE = 0.35
 _END_SHARE = 0.15
-# Shorter ups and downs are single large jobs, and gaps between them.
-_STEADY_S = 0.3
-# While no period is known, a pool is not expected to peak again sooner than
-# after so many times its last peak: there is a turn of another queue between.
-_GAP_PEAKS = 2.0
-# Work that comes again so soon after a peak is still the same one: a few
-# seconds of few jobs happen in the middle of it.
-_REJOIN_S = 2.0
-_KEPT = 8
-# What is asked for by the time that an instance ordered at the peak's start
-# could have come.
-_RISE_S = 2.4
-
-
-class _Pool:
+# Filters out single large jobs and the gaps between them.
+_CONFIRM_S = 0.3
+# While no period is known, the next peak is expected after this multiple of
+# the last peak's duration, since other queues have their turns first.
+_GAP_FACTOR = 2.0
+# Demand that returns this soon after a peak belongs to the same peak.
+_MERGE_GAP_S = 2.0
+_STARTS_KEPT_MAX = 8
+# Start of a peak, until an instance ordered at its beginning has arrived.
+_ONSET_S = 2.4
+
+
+class _PoolPeaks:
     """Hold the peaks of one pool.
 
-    ``shares`` are those that the first moments of its peak ask for, while it
-    lasts, and ``asked_share`` is what they came to in its last whole peak.
+    ``crossed_since_s`` is since when the demand has been beyond the threshold
+    of the next phase. ``onset_shares`` are the shares measured at the start
+    of the current peak, and ``onset_share`` sums up those of the last one.
     """
 
     def __init__(self) -> None:
         self.starts_s: list[float] = []
-        self.ended_s: float | None = None
-        self.is_peak = False
-        self.turned_s: float | None = None
-        self.shares: list[float] = []
-        self.asked_share: float | None = None
+        self.last_end_s: float | None = None
+        self.is_peaking = False
+        self.crossed_since_s: float | None = None
+        self.onset_shares: list[float] = []
+        self.onset_share: float | None = None
 
 
 class PeakTracker:
-    """Follow pools' demand, and forecast their next peaks."""
+    """Track the demand of pools and forecast their next peaks."""
 
     def __init__(self) -> None:
         self.pool_count = 0
-        self._pools: dict[str, _Pool] = {}
-
-    def note(self, pool: str, share: float, now_s: float) -> None:
-        """Take which share of its room a pool's work asks for."""
-        known = self._pools.setdefault(pool, _Pool())
-        if known.is_peak and now_s < known.starts_s[-1] + _RISE_S:
-            known.shares.append(share)
-        is_turning = share < _END_SHARE
-        if not known.is_peak:
-            is_turning = share >= _BEGIN_SHARE
-        if not is_turning:
-            known.turned_s = None
+        self._pools: dict[str, _PoolPeaks] = {}
+
+    def record(self, pool: str, share: float, now_s: float) -> None:
+        """Record a pool's demand as a share of its baseline capacity."""
+        peaks = self._pools.setdefault(pool, _PoolPeaks())
+        if peaks.is_peaking and now_s < peaks.starts_s[-1] + _ONSET_S:
+            peaks.onset_shares.append(share)
+        is_crossing = share < _END_SHARE
+        if not peaks.is_peaking:
+            is_crossing = share >= _START_SHARE
+        if not is_crossing:
+            peaks.crossed_since_s = None
             return
-        if known.turned_s is None:
-            known.turned_s = now_s
-        if now_s >= known.turned_s + _STEADY_S:
-            _turn(known, known.turned_s)
+        if peaks.crossed_since_s is None:
+            peaks.crossed_since_s = now_s
+        if now_s >= peaks.crossed_since_s + _CONFIRM_S:
+            _switch_phase(peaks, peaks.crossed_since_s)
 
-    def is_peak(self, pool: str) -> bool:
-        """Tell whether a pool peaks now."""
-        known = self._pools.get(pool)
-        return known is not None and known.is_peak
+    def is_peaking(self, pool: str) -> bool:
+        """Check whether a pool is in a peak."""
+        peaks = self._pools.get(pool)
+        return peaks is not None and peaks.is_peaking
 
     def has_peaked(self, pool: str) -> bool:
-        """Tell whether a pool has been seen to peak."""
-        known = self._pools.get(pool)
-        return known is not None and bool(known.starts_s)
-
-    def is_beginning(self, pool: str, now_s: float, lead_s: float) -> bool:
-        """Tell whether a pool's peak has begun within the last moments."""
-        known = self._pools.get(pool)
-        if known is None or not known.is_peak:
+        """Check whether a pool has had a peak."""
+        peaks = self._pools.get(pool)
+        return peaks is not None and bool(peaks.starts_s)
+
+    def is_starting(self, pool: str, now_s: float, lead_s: float) -> bool:
+        """Check whether a pool's peak began less than ``lead_s`` ago."""
+        peaks = self._pools.get(pool)
+        if peaks is None or not peaks.is_peaking:
             return False
-        return now_s < known.starts_s[-1] + lead_s
+        return now_s < peaks.starts_s[-1] + lead_s
 
-    def get_asked_share(self, pool: str) -> float:
-        """Give which share of its room the first moments of a peak ask for.
+    def get_onset_share(self, pool: str) -> float:
+        """Return the demand at the start of a pool's last complete peak.
 
-        That of a pool without a whole peak is the mean of the others', or 0
-        where nothing is known.
+        For a pool without one, return the mean of the other pools, or 0 if
+        there is none.
         """
-        known = self._pools.get(pool)
-        if known is not None and known.asked_share is not None:
-            return known.asked_share
-        seen = [
-            one.asked_share
+        peaks = self._pools.get(pool)
+        if peaks is not None and peaks.onset_share is not None:
+            return peaks.onset_share
+        known_shares = [
+            one.onset_share
             for one in self._pools.values()
-            if one.asked_share is not None
+            if one.onset_share is not None
         ]
-        return fmean(seen) if seen else 0
+        return fmean(known_shares) if known_shares else 0
 
     def get_next_start_s(self, pool: str) -> float:
-        """Give when the pool's next peak begins at the earliest.
+        """Return the earliest expected start of a pool's next peak.
 
-        A pool that was never seen to peak may do so at any moment.
+        A pool that has never peaked may do so at any time.
         """
-        known = self._pools.get(pool)
-        if known is None or not known.starts_s:
+        peaks = self._pools.get(pool)
+        if peaks is None or not peaks.starts_s:
             return float('-inf')
-        last_s = known.starts_s[-1]
+        last_start_s = peaks.starts_s[-1]
         period_s = self._get_period_s()
         if period_s is not None:
-            return last_s + period_s
-        ended_s = known.ended_s or last_s
-        return ended_s + _GAP_PEAKS * (ended_s - last_s)
+            return last_start_s + period_s
+        last_end_s = peaks.last_end_s or last_start_s
+        return last_end_s + _GAP_FACTOR * (last_end_s - last_start_s)
 
-    def has_stopped(self, now_s: float) -> bool:
-        """Tell whether no pool has peaked for as long as a turn lasts.
+    def have_peaks_ended(self, now_s: float) -> bool:
+        """Check whether no pool has peaked for longer than the usual interval.
 
-        One queue's peak follows another's. Pools that wait for a peak beyond
-        that would stay at their full size all night.
+        Otherwise pools would be kept ready for a peak after traffic ends.
         """
-        turn_s = self._get_turn_s()
-        if turn_s is None:
+        interval_s = self._get_interval_s()
+        if interval_s is None:
             return False
-        if any(known.is_peak for known in self._pools.values()):
+        if any(peaks.is_peaking for peaks in self._pools.values()):
             return False
-        peaks = [
-            (known.starts_s[-1], known.ended_s)
-            for known in self._pools.values()
-            if known.starts_s and known.ended_s is not None
+        last_peaks = [
+            (peaks.starts_s[-1], peaks.last_end_s)
+            for peaks in self._pools.values()
+            if peaks.starts_s and peaks.last_end_s is not None
         ]
-        longest_s = max(ended_s - start_s for start_s, ended_s in peaks)
-        last_s = max(ended_s for _, ended_s in peaks)
-        return now_s > last_s + max(turn_s, longest_s)
+        longest_duration_s = max(
+            last_end_s - start_s for start_s, last_end_s in last_peaks
+        )
+        latest_end_s = max(last_end_s for _, last_end_s in last_peaks)
+        return now_s > latest_end_s + max(interval_s, longest_duration_s)
 
     def _get_period_s(self) -> float | None:
-        """Give the time from one peak of a pool to its next.
+        """Return the time between two peaks of the same pool.
 
-        All queues go round together, so that what one pool has shown holds
-        for the others too. Before that, each pool is taken to have one turn
-        as long as those seen.
+        All queues are assumed to share one period. Before it is observed, it
+        is estimated from the interval between peaks of different pools.
         """
         periods = [
             later - earlier
-            for known in self._pools.values()
-            for earlier, later in pairwise(known.starts_s)
+            for peaks in self._pools.values()
+            for earlier, later in pairwise(peaks.starts_s)
         ]
         if periods:
             return min(periods)
-        turn_s = self._get_turn_s()
-        return None if turn_s is None else turn_s * self.pool_count
-
-    def _get_turn_s(self) -> float | None:
-        """Give the mean time from one pool's peak to the next one's.
+        interval_s = self._get_interval_s()
+        return None if interval_s is None else interval_s * self.pool_count
 
-        A peak is noticed up to a second early or late, by which large jobs
-        come first; the mean evens that out.
-        """
+    def _get_interval_s(self) -> float | None:
+        """Return the mean time between consecutive peaks of any pools."""
         starts_s = sorted(
             start_s
-            for known in self._pools.values()
-            for start_s in known.starts_s
+            for peaks in self._pools.values()
+            for start_s in peaks.starts_s
         )
         if len(starts_s) < 2:
             return None
         return (starts_s[-1] - starts_s[0]) / (len(starts_s) - 1)
 
 
-def _turn(known: _Pool, since_s: float) -> None:
-    known.is_peak = not known.is_peak
-    known.turned_s = None
-    if not known.is_peak:
-        known.ended_s = since_s
-        if known.shares:
-            known.asked_share = _get_upper_mean(known.shares)
-        known.shares = []
+def _switch_phase(peaks: _PoolPeaks, since_s: float) -> None:
+    peaks.is_peaking = not peaks.is_peaking
+    peaks.crossed_since_s = None
+    if not peaks.is_peaking:
+        peaks.last_end_s = since_s
+        if peaks.onset_shares:
+            peaks.onset_share = _get_upper_mean(peaks.onset_shares)
+        peaks.onset_shares = []
         return
-    ended_s = known.ended_s
-    if ended_s is None or since_s > ended_s + _REJOIN_S:
-        known.starts_s = [*known.starts_s, since_s][-_KEPT:]
+    last_end_s = peaks.last_end_s
+    if last_end_s is None or since_s > last_end_s + _MERGE_GAP_S:
+        peaks.starts_s = [*peaks.starts_s, since_s][-_STARTS_KEPT_MAX:]
 
 
-def _get_upper_mean(shares: list[float]) -> float:
-    """Give the mean of the upper half, without the rise and the end."""
-    ordered = sorted(shares)
+def _get_upper_mean(onset_shares: list[float]) -> float:
+    """Return the mean of the upper half, which leaves out the ramps."""
+    ordered = sorted(onset_shares)
     return fmean(ordered[len(ordered) // 2 :])
--- a/src/sardinemast/dispatch/_planner.py
+++ b/src/sardinemast/dispatch/_planner.py
@@ -1,4 +1,4 @@
-"""Choose which tasks start now, and on which workers."""
+"""Choose which tasks to start, and on which workers."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterator
@@ -13,14 +13,16 @@
 )
 from sardinemast.jobs.commands import RunStart
 
-# One command is synced and sent at once; more would hold up the next look.
+# Bounds the size of a command, which is synced and sent as a whole.
 _STARTS_MAX = 256
 
 
 class Planner:
-    """Choose starts on a picture of the free room.
+    """Plan starts on a copy of the free capacity.
 
-    ``is_usable`` tells of a worker whether new runs may start there.
+    ``is_usable`` tells whether a worker may get new runs. ``is_avoided`` tells
+    whether a task should rather not run on a worker, ``is_allowed`` whether a
+    step may run on it at all.
     """
 
     def __init__(
@@ -38,13 +40,13 @@
         self._is_usable = is_usable
         self._usable: dict[str, bool] = {}
         self._free = state.usage.free.copy()
-        self._unfit: dict[str, list[Size]] = defaultdict(list)
-        self._is_trying = False
+        self._unplaceable_sizes: dict[str, list[Size]] = defaultdict(list)
+        self._is_gang_attempt = False
         self._used_by_team = dict(state.usage.by_team)
         self._starts: list[RunStart] = []
 
     def choose(self) -> tuple[RunStart, ...]:
-        """Choose what starts now, the most pressing first."""
+        """Return the starts, in the order of the steps' priorities."""
         candidates = [
             step for step in self._state.ready.values() if step.waiting
         ]
@@ -58,7 +60,7 @@
         return self._state.get_queue(step).pool
 
     def _place_step(self, step: StepState) -> None:
-        if self._is_too_large(step):
+        if self._is_known_unplaceable(step):
             return
         if step.spec.is_gang:
             self._place_gang(step)
@@ -71,17 +73,18 @@
             on_worker[worker] += 1
 
     def _place_gang(self, step: StepState) -> None:
-        # Members wait for each other at their workers, and hold room there.
-        # Unless all can start at once, none does.
+        # Members wait for each other while they occupy their workers, so a gang
+        # starts as a whole or not at all.
         if step.running:
             return
         racks = self._get_racks(step) if step.spec.is_same_rack else ['']
-        # What is too large beside half a gang may fit when that gives way.
-        self._is_trying = True
+        # A failed attempt is rolled back, so it must not mark sizes as
+        # unplaceable.
+        self._is_gang_attempt = True
         for rack in racks:
-            if self._try_gang(step, rack):
+            if self._try_place_gang(step, rack):
                 break
-        self._is_trying = False
+        self._is_gang_attempt = False
 
     def _get_racks(self, step: StepState) -> list[str]:
         names = self._free.list_workers(self._get_pool(step))
@@ -93,20 +96,20 @@
             },
         )
         racks.sort(key=lambda rack: rack != step.spec.data_rack)
-        # Far apart is slow, but a gang that fits no rack must run somewhere.
+        # A gang that fits into no single rack may spread over several.
         return [*racks, '']
 
-    def _try_gang(self, step: StepState, rack: str) -> bool:
-        kept_free = self._free.copy()
-        kept_used = dict(self._used_by_team)
-        kept_starts = list(self._starts)
+    def _try_place_gang(self, step: StepState, rack: str) -> bool:
+        saved_free = self._free.copy()
+        saved_used = dict(self._used_by_team)
+        saved_starts = list(self._starts)
         on_worker = _count_by_worker(step)
         for index in tuple(step.waiting):
             worker = self._place_task(step, index, on_worker, rack)
             if worker is None:
-                self._free = kept_free
-                self._used_by_team = kept_used
-                self._starts = kept_starts
+                self._free = saved_free
+                self._used_by_team = saved_used
+                self._starts = saved_starts
                 return False
             on_worker[worker] += 1
         return True
@@ -118,9 +121,9 @@
         on_worker: dict[str, int],
         rack: str,
     ) -> str | None:
-        if not self._has_team_room(step):
+        if not self._fits_team_cap(step):
             return None
-        worker = self._pick(step, index, on_worker, rack)
+        worker = self._choose_worker(step, index, on_worker, rack)
         if worker is None:
             return None
         self._free.change(worker, step.spec.reserved_size, -1)
@@ -134,7 +137,7 @@
         )
         return worker
 
-    def _has_team_room(self, step: StepState) -> bool:
+    def _fits_team_cap(self, step: StepState) -> bool:
         job = self._state.get_job(step)
         team = self._state.teams.get(job.team)
         if team is None:
@@ -145,7 +148,7 @@
             for taken, cap in zip(used, team.cap, strict=True)
         )
 
-    def _pick(
+    def _choose_worker(
         self,
         step: StepState,
         index: int,
@@ -154,33 +157,33 @@
     ) -> str | None:
         task = step.get_task(index)
         best: tuple[tuple[bool, ...], str] | None = None
-        has_room = False
-        for worker in self._iterate_roomy(step):
-            has_room = True
-            if not _is_suited(step, worker, on_worker, rack):
+        has_candidate = False
+        for worker in self._iterate_fitting(step):
+            has_candidate = True
+            if not _is_eligible(step, worker, on_worker, rack):
                 continue
             if not self._is_allowed(step, worker):
                 continue
-            # Tasks are packed: the fullest worker with room comes first, so
-            # that whole workers stay empty for wide steps, for other pools
-            # and to be switched off. Lasting ones too: spread over workers,
-            # to empty one of them sooner for maintenance, a few small ones
-            # keep a whole pool on all day.
+            # Workers come fullest first. Packing, also of long-running tasks,
+            # keeps whole workers empty for wide steps, for moves to other
+            # pools and for switching them off.
             cost = (
                 self._is_avoided(task, worker.name),
-                _is_far(step, worker),
-                self._is_disturbed(step, worker),
+                _is_remote(step, worker),
+                self._has_interference(step, worker),
             )
             if best is None or cost < best[0]:
                 best = (cost, worker.name)
             if not any(cost):
                 break
-        if not has_room and not self._is_trying:
-            self._unfit[self._get_pool(step)].append(step.spec.reserved_size)
+        if not has_candidate and not self._is_gang_attempt:
+            self._unplaceable_sizes[self._get_pool(step)].append(
+                step.spec.reserved_size
+            )
         return best[1] if best else None
 
-    def _iterate_roomy(self, step: StepState) -> Iterator[Worker]:
-        """Give the usable workers with room for a task, the fullest first."""
+    def _iterate_fitting(self, step: StepState) -> Iterator[Worker]:
+        """Yield the usable workers with capacity for a task, fullest first."""
         for name in self._free.iterate_fitting(
             self._get_pool(step),
             step.spec.reserved_size,
@@ -189,25 +192,23 @@
                 yield self._state.workers[name]
 
     def _check_usable(self, name: str) -> bool:
-        known = self._usable.get(name)
-        if known is None:
-            known = self._is_usable(name)
-            self._usable[name] = known
-        return known
-
-    def _is_too_large(self, step: StepState) -> bool:
-        """Tell whether the pool lacked room for a smaller task before.
-
-        Room only gets less while starts are chosen. In a peak hundreds of
-        steps wait for a full pool, and to look for each at each worker took
-        half of a processor with 45 workers a pool; an end that waited behind
-        such a plan was known late.
+        is_usable = self._usable.get(name)
+        if is_usable is None:
+            is_usable = self._is_usable(name)
+            self._usable[name] = is_usable
+        return is_usable
+
+    def _is_known_unplaceable(self, step: StepState) -> bool:
+        """Check whether a task of at most this size already found no worker.
+
+        Free capacity only shrinks during planning. This avoids checking every
+        waiting step against every worker of a full pool.
         """
         size = step.spec.reserved_size
-        unfit = self._unfit[self._get_pool(step)]
-        return any(smaller.fits(size) for smaller in unfit)
+        unplaceable_sizes = self._unplaceable_sizes[self._get_pool(step)]
+        return any(smaller.fits(size) for smaller in unplaceable_sizes)
 
-    def _is_disturbed(self, step: StepState, worker: Worker) -> bool:
+    def _has_interference(self, step: StepState, worker: Worker) -> bool:
         usage = self._state.usage
         if step.spec.is_best_effort:
             return usage.latency_sensitive_counts[worker.name] > 0
@@ -224,23 +225,20 @@
     return counted
 
 
-def _is_suited(
+def _is_eligible(
     step: StepState,
     worker: Worker,
     on_worker: dict[str, int],
     rack: str,
 ) -> bool:
-    wanted = step.spec
-    if not wanted.allows_labels(worker.labels):
+    spec = step.spec
+    if not spec.allows_labels(worker.labels):
         return False
-    if (
-        wanted.max_per_worker
-        and on_worker[worker.name] >= wanted.max_per_worker
-    ):
+    if spec.max_per_worker and on_worker[worker.name] >= spec.max_per_worker:
         return False
     return not rack or worker.rack == rack
 
 
-def _is_far(step: StepState, worker: Worker) -> bool:
+def _is_remote(step: StepState, worker: Worker) -> bool:
     rack = step.spec.data_rack
     return bool(rack) and rack != worker.rack
--- a/src/sardinemast/dispatch/_polling.py
+++ b/src/sardinemast/dispatch/_polling.py
@@ -1,4 +1,4 @@
-"""Looks at workers: leases, lists, and workers that come and go."""
+"""Poll workers, renew their leases and process their reports."""
 
 from sardinemast.dispatch._events import (
     PollWorker,
@@ -7,255 +7,264 @@
 )
 from sardinemast.dispatch._outcomes import OrderOutcome
 from sardinemast.dispatch._reconcile import (
-    collect_ends,
-    find_lost,
-    find_orphans,
+    collect_new_ends,
+    find_lost_runs,
+    find_orphan_runs,
 )
 from sardinemast.dispatch._state import DispatchState
-from sardinemast.dispatch._throttling import Pacing
-from sardinemast.dispatch._worker_session import Contact
+from sardinemast.dispatch._throttling import BestEffortThrottle
+from sardinemast.dispatch._worker_session import WorkerSession
 from sardinemast.jobs import RunEnd
 from sardinemast.jobs.commands import FinishedRun, ForgetWorker, RegisterWorker
 
 _MS = 1000
 
 
-class Looks:
-    """Keep workers' leases and learn what they run and what has ended."""
+class WorkerPoller:
+    """Keep a session with each worker and poll it while it has runs."""
 
     def __init__(self, state: DispatchState) -> None:
         self._state = state
-        self._leaving: set[tuple[str, int]] = set()
-        # Those whose ends are not all recorded; all others need no look at
-        # each event, of which there are several for each start.
-        self._telling: dict[str, Contact] = {}
-        self._pacing = Pacing()
+        self._forgetting: set[tuple[str, int]] = set()
+        # Sessions with reported ends that are not recorded yet. Keeps the work
+        # per event independent of the number of workers.
+        self._sessions_with_ends: dict[str, WorkerSession] = {}
+        self._throttle = BestEffortThrottle()
 
     def start_term(self) -> None:
-        """Forget what was under way in a former term."""
-        self._leaving.clear()
-        self._telling.clear()
-        self._pacing = Pacing()
+        """Discard the state of the previous term."""
+        self._forgetting.clear()
+        self._sessions_with_ends.clear()
+        self._throttle = BestEffortThrottle()
 
-    def follow_workers(self, now_s: float) -> None:
-        """Have a contact for each boot of a worker that the log knows."""
+    def sync_sessions(self, now_s: float) -> None:
+        """Open, restart and close sessions to match the registered workers."""
         state = self._state
-        for name in state.contacts.keys() - state.jobs.workers.keys():
-            state.contacts.pop(name)
-            self._telling.pop(name, None)
+        for name in state.sessions.keys() - state.jobs.workers.keys():
+            state.sessions.pop(name)
+            self._sessions_with_ends.pop(name, None)
         for worker in state.jobs.workers.values():
-            contact = state.contacts.get(worker.name)
-            if contact is None:
-                contact = Contact(
+            session = state.sessions.get(worker.name)
+            if session is None:
+                session = WorkerSession(
                     worker,
                     state.term,
                     state.settings,
-                    state.over_at_s,
+                    state.earlier_leases_end_s,
                 )
-                # Its silence counts from here, or it would be forgotten
-                # between its first word and the first look.
-                contact.announced_s = now_s
-                state.contacts[worker.name] = contact
-            elif worker.boot_ms > contact.worker.boot_ms:
-                contact.restart(worker, now_s)
-            elif worker.boot_ms == contact.worker.boot_ms:
-                contact.worker = worker
+                # Otherwise a new worker would count as silent and be forgotten
+                # before its first poll.
+                session.last_announced_s = now_s
+                state.sessions[worker.name] = session
+            elif worker.boot_ms > session.worker.boot_ms:
+                session.restart(worker, now_s)
+            elif worker.boot_ms == session.worker.boot_ms:
+                session.worker = worker
 
-    def check_lease(self, contact: Contact, now_s: float) -> None:
-        """End the runs of a worker whose lease has surely ended."""
-        if now_s < contact.over_at_s:
+    def expire_lease(self, session: WorkerSession, now_s: float) -> None:
+        """Report all runs of a worker as lost once its lease has expired."""
+        if now_s < session.lease_ends_s:
             return
-        self._forget_silent(contact, now_s)
-        runs = self._state.get_runs(contact.worker.name)
+        self._forget_if_silent(session, now_s)
+        runs = self._state.get_runs(session.worker.name)
         if not runs:
             return
         self._state.log(
             'worker.lease_ended',
-            contact.worker.name,
+            session.worker.name,
             runs=len(runs),
-            silent_s=round(now_s - contact.heard_s, 3),
+            silent_s=round(now_s - session.last_heard_s, 3),
         )
-        # The worker has killed everything by itself; what it was told and
-        # has not carried out yet is void under a higher fence.
+        # The worker has stopped all runs by itself. Raising the fence voids
+        # orders that it has not executed yet.
         for task, number in runs.items():
-            self._state.note_end(FinishedRun(task, number, RunEnd.lost))
-        if contact.is_synced:
-            contact.is_synced = False
-            contact.looks.has_doubt = True
+            self._state.record_end(FinishedRun(task, number, RunEnd.lost))
+        if session.is_synced:
+            session.is_synced = False
+            session.poll_state.must_raise_fence = True
 
-    def look(self, contact: Contact, now_s: float) -> None:
-        """Look at a worker where that is due."""
-        if contact.looks.is_sent or now_s < contact.looks.due_s:
+    def poll(self, session: WorkerSession, now_s: float) -> None:
+        """Send a poll to a worker if one is due."""
+        if session.poll_state.is_pending or now_s < session.poll_state.due_s:
             return
-        has_runs = bool(self._state.get_runs(contact.worker.name))
-        is_needed = has_runs or bool(contact.listed)
-        if contact.is_synced and not is_needed and not contact.looks.has_doubt:
+        has_runs = bool(self._state.get_runs(session.worker.name))
+        is_needed = has_runs or bool(session.reported_runs)
+        if (
+            session.is_synced
+            and not is_needed
+            and not session.poll_state.must_raise_fence
+        ):
             return
-        # Asked before its ends are recorded, it would only list them again.
-        if contact.ends.noted > contact.ends.seen:
+        # Until its ends are recorded, the worker would only repeat them.
+        if session.end_cursor.reported > session.end_cursor.recorded:
             return
-        if contact.looks.has_doubt:
-            contact.raise_fence()
-        # A worker that does not answer must not get more time: each try would
-        # put off the moment at which its tasks may start elsewhere.
-        is_heard = contact.is_synced and not contact.looks.misses
-        wait_ms = self._get_wait_ms(contact) if is_heard else 0
-        contact.looks.is_sent = True
+        if session.poll_state.must_raise_fence:
+            session.raise_fence()
+        # The lease of a worker that does not answer is not renewed: each retry
+        # would delay the restart of its tasks elsewhere.
+        is_responsive = session.is_synced and not session.poll_state.misses
+        wait_ms = self._get_wait_ms(session) if is_responsive else 0
+        session.poll_state.is_pending = True
         self._state.outputs.append(
             PollWorker(
-                contact.worker,
-                contact.fence,
-                contact.ends.seen,
-                contact.grant(now_s) if is_heard else None,
+                session.worker,
+                session.fence,
+                session.end_cursor.recorded,
+                session.extend_lease(now_s) if is_responsive else None,
                 wait_ms,
                 wait_ms / _MS + self._state.settings.answer_s,
                 now_s,
             ),
         )
 
-    def take(
+    def handle_polled(
         self,
-        contact: Contact,
-        looked: WorkerPolled,
+        session: WorkerSession,
+        polled: WorkerPolled,
         now_s: float,
     ) -> list[FinishedRun]:
-        """Take the answer to a look, and give the ends that it told."""
-        contact.looks.is_sent = False
-        answer = looked.answer
+        """Process the result of a poll and return the ends that are new."""
+        session.poll_state.is_pending = False
+        answer = polled.answer
         ends: list[FinishedRun] = []
-        if looked.outcome is OrderOutcome.gone:
-            self.let_go(contact)
+        if polled.outcome is OrderOutcome.gone:
+            self.propose_forget(session)
         elif answer is None:
-            self._note_miss(contact, now_s)
-        elif answer.boot_ms > contact.worker.boot_ms:
-            # It started again and nobody has said so yet.
-            worker = contact.worker._replace(boot_ms=answer.boot_ms)
-            contact.restart(worker, now_s)
+            self._record_miss(session, now_s)
+        elif answer.boot_ms > session.worker.boot_ms:
+            # The worker restarted and has not announced itself yet.
+            worker = session.worker._replace(boot_ms=answer.boot_ms)
+            session.restart(worker, now_s)
             self._state.propose(RegisterWorker(worker))
-        elif not answer.boot_ms or answer.boot_ms == contact.worker.boot_ms:
-            ends = self._take_lists(contact, looked, now_s)
-        contact.looks.due_s = max(contact.looks.due_s, now_s)
-        self.look(contact, now_s)
+        elif not answer.boot_ms or answer.boot_ms == session.worker.boot_ms:
+            ends = self._process_report(session, polled, now_s)
+        session.poll_state.due_s = max(session.poll_state.due_s, now_s)
+        self.poll(session, now_s)
         return ends
 
-    def note_proposed(self) -> None:
-        """Note that all ends told so far are on their way into the log."""
-        for contact in self._telling.values():
-            contact.ends.proposed = contact.ends.noted
+    def mark_ends_proposed(self) -> None:
+        """Mark all reported ends as proposed for the log."""
+        for session in self._sessions_with_ends.values():
+            session.end_cursor.proposed = session.end_cursor.reported
 
-    def take_note(self, now_s: float) -> None:
-        """Let workers forget the ends that are recorded by now.
+    def acknowledge_ends(self, now_s: float) -> None:
+        """Acknowledge recorded ends to the workers.
 
-        What a worker has told since is not in the log yet. Forgotten there,
-        it would be lost with this process, and the task would run again.
+        Ends reported since the proposal are not acknowledged. If a worker
+        dropped them and this process failed, their tasks would run again.
         """
-        for name, contact in tuple(self._telling.items()):
-            if contact.ends.noted == contact.ends.proposed:
-                self._telling.pop(name)
-            if contact.ends.proposed > contact.ends.seen:
-                contact.ends.seen = contact.ends.proposed
-                self.look(contact, now_s)
+        for name, session in tuple(self._sessions_with_ends.items()):
+            if session.end_cursor.reported == session.end_cursor.proposed:
+                self._sessions_with_ends.pop(name)
+            if session.end_cursor.proposed > session.end_cursor.recorded:
+                session.end_cursor.recorded = session.end_cursor.proposed
+                self.poll(session, now_s)
 
-    def let_go(self, contact: Contact) -> None:
-        """Forget a worker that has surely ended."""
-        gone = (contact.worker.name, contact.worker.boot_ms)
-        if gone not in self._leaving:
-            self._leaving.add(gone)
-            runs = len(self._state.get_runs(gone[0]))
-            self._state.log('worker.gone', gone[0], runs=runs)
-            self._state.propose(ForgetWorker(*gone))
+    def propose_forget(self, session: WorkerSession) -> None:
+        """Propose once to remove a worker whose boot has certainly ended."""
+        boot_key = (session.worker.name, session.worker.boot_ms)
+        if boot_key not in self._forgetting:
+            self._forgetting.add(boot_key)
+            runs = len(self._state.get_runs(boot_key[0]))
+            self._state.log('worker.gone', boot_key[0], runs=runs)
+            self._state.propose(ForgetWorker(*boot_key))
 
-    def note_forgotten(self, forgotten: ForgetWorker) -> None:
-        """Note that the log has forgotten a worker."""
-        self._leaving.discard((forgotten.name, forgotten.boot_ms))
+    def handle_forgotten(self, forgotten: ForgetWorker) -> None:
+        """Handle the removal of a worker from the log."""
+        self._forgetting.discard((forgotten.name, forgotten.boot_ms))
 
-    def _forget_silent(self, contact: Contact, now_s: float) -> None:
-        quiet_s = now_s - max(contact.heard_s, contact.announced_s)
-        is_settled = now_s > self._state.over_at_s
-        if quiet_s > self._state.settings.forget_s and is_settled:
-            self.let_go(contact)
+    def _forget_if_silent(self, session: WorkerSession, now_s: float) -> None:
+        silence_s = now_s - max(session.last_heard_s, session.last_announced_s)
+        have_earlier_leases_ended = now_s > self._state.earlier_leases_end_s
+        if (
+            silence_s > self._state.settings.forget_s
+            and have_earlier_leases_ended
+        ):
+            self.propose_forget(session)
 
-    def _get_wait_ms(self, contact: Contact) -> int:
-        name = contact.worker.name
+    def _get_wait_ms(self, session: WorkerSession) -> int:
+        name = session.worker.name
         usage = self._state.jobs.usage
-        is_watched = (
+        has_interference = (
             usage.best_effort_counts[name]
             and usage.latency_sensitive_counts[name]
         )
         settings = self._state.settings
-        return settings.watch_ms if is_watched else settings.wait_ms
+        return settings.watch_ms if has_interference else settings.wait_ms
 
-    def _note_miss(self, contact: Contact, now_s: float) -> None:
-        contact.looks.misses += 1
-        if contact.looks.misses == 1:
-            heard_s = round(now_s - contact.heard_s, 3)
-            name = contact.worker.name
-            self._state.log('worker.silent', name, heard_ago_s=heard_s)
+    def _record_miss(self, session: WorkerSession, now_s: float) -> None:
+        session.poll_state.misses += 1
+        if session.poll_state.misses == 1:
+            silence_s = round(now_s - session.last_heard_s, 3)
+            name = session.worker.name
+            self._state.log('worker.silent', name, heard_ago_s=silence_s)
         settings = self._state.settings
-        wait_s = settings.retry_s * contact.looks.misses
-        contact.looks.due_s = now_s + min(wait_s, settings.retry_max_s)
+        wait_s = settings.retry_s * session.poll_state.misses
+        session.poll_state.due_s = now_s + min(wait_s, settings.retry_max_s)
 
-    def _take_lists(
+    def _process_report(
         self,
-        contact: Contact,
-        looked: WorkerPolled,
+        session: WorkerSession,
+        polled: WorkerPolled,
         now_s: float,
     ) -> list[FinishedRun]:
-        answer = looked.answer
-        if answer is None or looked.fence < contact.fence:
+        answer = polled.answer
+        if answer is None or polled.fence < session.fence:
             return []
-        contact.note_clock(answer.clock_ms, now_s)
-        contact.heard_s = now_s
-        contact.looks.misses = 0
-        if not contact.is_synced:
-            self._state.is_changed = True
+        session.record_clock(answer.clock_ms, now_s)
+        session.last_heard_s = now_s
+        session.poll_state.misses = 0
+        if not session.is_synced:
+            self._state.needs_planning = True
             runs = len(answer.running)
-            name = contact.worker.name
+            name = session.worker.name
             self._state.log('worker.heard', name, runs=runs)
-        contact.is_synced = contact.has_clock
-        contact.listed = {one.task: one for one in answer.running}
-        ends = collect_ends(contact, looked)
+        session.is_synced = session.has_clock
+        session.reported_runs = {one.task: one for one in answer.running}
+        ends = collect_new_ends(session, polled)
         if ends:
-            self._telling[contact.worker.name] = contact
-        for over in ends:
-            self._state.note_end(over)
-        self._compare(contact, looked, now_s)
-        self._pace(contact, now_s)
+            self._sessions_with_ends[session.worker.name] = session
+        for finished_run in ends:
+            self._state.record_end(finished_run)
+        self._reconcile(session, polled, now_s)
+        self._throttle_runs(session, now_s)
         return ends
 
-    def _compare(
+    def _reconcile(
         self,
-        contact: Contact,
-        looked: WorkerPolled,
+        session: WorkerSession,
+        polled: WorkerPolled,
         now_s: float,
     ) -> None:
         state = self._state
-        ending = set(state.ends)
-        for lost in find_lost(state.jobs, contact, looked, ending):
-            state.note_end(lost)
+        ending_tasks = set(state.pending_ends)
+        for lost_run in find_lost_runs(
+            state.jobs, session, polled, ending_tasks
+        ):
+            state.record_end(lost_run)
             state.log(
                 'run.lost',
-                str(lost.task),
-                run=lost.number,
-                worker=looked.worker,
-                fence=looked.fence,
+                str(lost_run.task),
+                run=lost_run.number,
+                worker=polled.worker,
+                fence=polled.fence,
             )
-        for orphan in find_orphans(state.jobs, contact):
-            state.stop(contact, orphan.task, orphan.number, now_s)
+        for orphan in find_orphan_runs(state.jobs, session):
+            state.stop_run(session, orphan.task, orphan.number, now_s)
 
-    def _pace(self, contact: Contact, now_s: float) -> None:
+    def _throttle_runs(self, session: WorkerSession, now_s: float) -> None:
         state = self._state
-        self._pacing.note_look(state.jobs, contact, now_s)
-        name = contact.worker.name
-        for paced in self._pacing.choose(state.jobs, contact):
-            task, number, percent = paced
-            self._pacing.note_sent(name, task, number, percent)
+        self._throttle.update(state.jobs, session, now_s)
+        name = session.worker.name
+        for change in self._throttle.list_changes(state.jobs, session):
+            task, number, percent = change
+            self._throttle.record_sent(name, task, number, percent)
             state.outputs.append(
                 ThrottleRun(
-                    contact.worker,
+                    session.worker,
                     task,
                     number,
-                    contact.fence,
+                    session.fence,
                     percent,
                     state.settings.answer_s,
                 ),
--- a/src/sardinemast/dispatch/_pool_load.py
+++ b/src/sardinemast/dispatch/_pool_load.py
@@ -1,4 +1,4 @@
-"""How much a pool has, uses and wants of processors."""
+"""CPU load of a pool."""
 
 from typing import NamedTuple
 
@@ -6,28 +6,29 @@
 
 
 class PoolLoad(NamedTuple):
-    """Hold a pool's millicores: all, free, and wanted by ready tasks.
+    """Hold the load of a pool's usable workers, in millicores.
 
-    ``passing`` is what tasks take that end by themselves, ``empty`` are
-    usable workers that run nothing.
+    ``queued`` is the demand of tasks that wait, ``batch`` the usage of tasks
+    that end by themselves. ``workers`` also counts cordoned workers.
+    ``idle_workers`` holds the usable workers without runs.
     """
 
-    room: int = 0
+    capacity: int = 0
     free: int = 0
-    wanted: int = 0
-    passing: int = 0
+    queued: int = 0
+    batch: int = 0
     workers: int = 0
-    empty: tuple[Worker, ...] = ()
+    idle_workers: tuple[Worker, ...] = ()
 
     @property
-    def missing(self) -> int:
-        """Give what is wanted beyond what is free, below 0 what is left."""
-        return self.wanted - self.free
+    def shortfall(self) -> int:
+        """Return the queued demand minus the free capacity."""
+        return self.queued - self.free
 
     @property
-    def lasting(self) -> int:
-        """Give what tasks take that do not end by themselves."""
-        return self.room - self.free - self.passing
+    def long_running_usage(self) -> int:
+        """Return the usage of long-running tasks."""
+        return self.capacity - self.free - self.batch
 
 
 NO_LOAD = PoolLoad()
--- a/src/sardinemast/dispatch/_pool_sizes.py
+++ b/src/sardinemast/dispatch/_pool_sizes.py
@@ -1,4 +1,4 @@
-"""How many workers each pool needs now."""
+"""Compute how many workers each pool needs."""
 
 from math import ceil
 from typing import NamedTuple
@@ -7,134 +7,144 @@
 from sardinemast.dispatch._pool_load import PoolLoad
 from sardinemast.dispatch._settings import PoolPolicy
 
-# A moved instance has a new worker after about two seconds; it has to be
-# there when the peak begins.
-_LEAD_S = 2.4
-# So long before a pool's next peak it gets what its last one asked for. The
-# rest of an instance's way falls into the first moments of the peak.
-_AHEAD_S = 1.2
+# Time until the worker of a moved instance is usable.
+_MOVE_LEAD_S = 2.4
+# How long before an expected peak a pool is resized for it. The remaining time
+# of the moves falls into the start of the peak.
+_PREPARE_S = 1.2
 
 
-class PoolNeed(NamedTuple):
-    """Hold a pool's usual number of workers, and the room of one."""
+class PoolBaseline(NamedTuple):
+    """Hold a pool's original number of workers and the size of one."""
 
-    usual: int
+    worker_count: int
     worker_millicores: int
 
     @property
-    def room(self) -> int:
-        """Give the millicores of the usual number of workers."""
-        return self.usual * self.worker_millicores
+    def capacity(self) -> int:
+        """Return the millicores of the original number of workers."""
+        return self.worker_count * self.worker_millicores
 
 
-def count_needed(
+def count_workers_needed(
     pool: str,
     load: PoolLoad,
-    need: PoolNeed,
+    baseline: PoolBaseline,
     peaks: PeakTracker,
     now_s: float,
     policy: PoolPolicy,
 ) -> int:
-    """Give how many workers the pool should have now.
+    """Return how many workers a pool should have now.
 
-    One that was never seen to peak keeps a part of its workers: its first
-    peak may come at any moment, and they carry it until others are there. So
-    does one whose peak is due or late, until the queues have stopped peaking.
-    Right before a peak, and in its first moments, a pool gets what the last
-    one asked for.
+    The count follows the current load. Around the expected start of a peak it
+    is at least what the start of the previous peak needed.
     """
-    if not need.worker_millicores:
-        return need.usual
-    asked = _count_asked(pool, load, need, peaks, now_s, policy)
-    if not _is_expected(pool, peaks, now_s):
-        return asked
-    expected = _count_expected(pool, load, need, peaks, policy)
-    return max(asked, min(expected, _count_most(load, need, policy)))
-
-
-def _is_expected(pool: str, peaks: PeakTracker, now_s: float) -> bool:
-    """Tell whether a pool's peak begins about now."""
-    if peaks.is_peak(pool):
-        return peaks.is_beginning(pool, now_s, _LEAD_S)
-    if not peaks.has_peaked(pool) or peaks.has_stopped(now_s):
+    if not baseline.worker_millicores:
+        return baseline.worker_count
+    demanded = _count_for_load(pool, load, baseline, peaks, now_s, policy)
+    if not _is_peak_expected(pool, peaks, now_s):
+        return demanded
+    expected = _count_for_peak(pool, load, baseline, peaks, policy)
+    return max(demanded, min(expected, _count_max(load, baseline, policy)))
+
+
+def _is_peak_expected(pool: str, peaks: PeakTracker, now_s: float) -> bool:
+    """Check whether a peak of the pool starts about now."""
+    if peaks.is_peaking(pool):
+        return peaks.is_starting(pool, now_s, _MOVE_LEAD_S)
+    if not peaks.has_peaked(pool) or peaks.have_peaks_ended(now_s):
         return False
-    return now_s >= peaks.get_next_start_s(pool) - _AHEAD_S
+    return now_s >= peaks.get_next_start_s(pool) - _PREPARE_S
 
 
-def _count_expected(
+def _count_for_peak(
     pool: str,
     load: PoolLoad,
-    need: PoolNeed,
+    baseline: PoolBaseline,
     peaks: PeakTracker,
     policy: PoolPolicy,
 ) -> int:
-    """Give how many workers carry the next peak, by the size of the last."""
-    asked = policy.expected_factor * peaks.get_asked_share(pool) * need.room
-    return ceil((max(load.lasting, 0) + asked) / need.worker_millicores)
+    """Return the workers needed at the start of the next peak."""
+    demanded = (
+        policy.expected_factor * peaks.get_onset_share(pool) * baseline.capacity
+    )
+    return ceil(
+        (max(load.long_running_usage, 0) + demanded)
+        / baseline.worker_millicores
+    )
 
 
-def _count_asked(
+def _count_for_load(
     pool: str,
     load: PoolLoad,
-    need: PoolNeed,
+    baseline: PoolBaseline,
     peaks: PeakTracker,
     now_s: float,
     policy: PoolPolicy,
 ) -> int:
-    size = need.worker_millicores
-    more = _count_missing(load, size, policy)
-    if peaks.is_peak(pool):
-        more = max(more, _count_ahead(load, size, policy))
-    if more > 0:
+    worker_millicores = baseline.worker_millicores
+    extra = _count_shortfall(load, worker_millicores, policy)
+    if peaks.is_peaking(pool):
+        extra = max(extra, _count_headroom(load, worker_millicores, policy))
+    if extra > 0:
         return max(
             load.workers,
-            min(load.workers + more, _count_most(load, need, policy)),
+            min(load.workers + extra, _count_max(load, baseline, policy)),
         )
-    calm = _count_calm(load, size, policy)
-    opening = ceil(need.usual * policy.opening_share)
-    if peaks.is_peak(pool):
-        # What it got from others is free for them as its work runs out.
-        return min(load.workers, max(opening, calm))
-    is_due = now_s >= peaks.get_next_start_s(pool) - _LEAD_S
-    if is_due and not peaks.has_stopped(now_s):
-        return max(opening, calm)
-    return min(calm, max(need.usual, load.workers))
-
-
-def _count_most(load: PoolLoad, need: PoolNeed, policy: PoolPolicy) -> int:
-    # What waits after an outage, and the first step of wide jobs, ask for more
-    # than is of use: they are done when those that were asked for come.
-    lasting = max(load.lasting, 0) / need.worker_millicores
-    # A pool that none of its instances began in has no usual number.
-    usual = need.usual or load.workers
-    return ceil(usual * policy.most_factor + lasting)
-
-
-def _count_missing(
+    calm_count = _count_for_calm(load, worker_millicores, policy)
+    opening_count = ceil(baseline.worker_count * policy.opening_share)
+    if peaks.is_peaking(pool):
+        # As the peak fades, release workers to other pools.
+        return min(load.workers, max(opening_count, calm_count))
+    # A first or overdue peak may start at any time, so keep the opening share.
+    is_due = now_s >= peaks.get_next_start_s(pool) - _MOVE_LEAD_S
+    if is_due and not peaks.have_peaks_ended(now_s):
+        return max(opening_count, calm_count)
+    return min(calm_count, max(baseline.worker_count, load.workers))
+
+
+def _count_max(
+    load: PoolLoad, baseline: PoolBaseline, policy: PoolPolicy
+) -> int:
+    # A backlog after an outage, or the first step of a wide job, would request
+    # workers that arrive after most of the work is done.
+    long_running_usage = (
+        max(load.long_running_usage, 0) / baseline.worker_millicores
+    )
+    # The baseline is 0 if all instances of the pool came from other pools.
+    worker_count = baseline.worker_count or load.workers
+    return ceil(worker_count * policy.most_factor + long_running_usage)
+
+
+def _count_shortfall(
     load: PoolLoad,
     worker_millicores: int,
     policy: PoolPolicy,
 ) -> int:
-    if load.missing <= policy.short_share * load.room:
+    if load.shortfall <= policy.short_share * load.capacity:
         return 0
-    return -(-load.missing // worker_millicores)
+    return -(-load.shortfall // worker_millicores)
 
 
-def _count_ahead(
+def _count_headroom(
     load: PoolLoad,
     worker_millicores: int,
     policy: PoolPolicy,
 ) -> int:
-    # A worker that is lost takes its room away at once, its runs later.
-    lasting = max(load.lasting, 0)
-    asked = lasting + policy.rise_factor * (load.passing + load.wanted)
-    return -int((load.room - asked) // worker_millicores)
+    # Negative while a lost worker's capacity is gone and its runs still count.
+    long_running_usage = max(load.long_running_usage, 0)
+    demanded = long_running_usage + policy.rise_factor * (
+        load.batch + load.queued
+    )
+    return -int((load.capacity - demanded) // worker_millicores)
 
 
-def _count_calm(
+def _count_for_calm(
     load: PoolLoad,
     worker_millicores: int,
     policy: PoolPolicy,
 ) -> int:
-    asked = load.lasting + policy.calm_factor * (load.passing + load.wanted)
-    return ceil(asked / worker_millicores) + policy.calm_spare
+    demanded = load.long_running_usage + policy.calm_factor * (
+        load.batch + load.queued
+    )
+    return ceil(demanded / worker_millicores) + policy.calm_spare
--- a/src/sardinemast/dispatch/_reconcile.py
+++ b/src/sardinemast/dispatch/_reconcile.py
@@ -1,4 +1,4 @@
-"""Compare what a worker lists with what the log says."""
+"""Compare the runs that a worker reports with the log."""
 
 from types import MappingProxyType
 from typing import NamedTuple
@@ -7,81 +7,89 @@
     ReportedEnd,
     WorkerPolled,
 )
-from sardinemast.dispatch._worker_session import Contact
+from sardinemast.dispatch._worker_session import WorkerSession
 from sardinemast.jobs import JobsState, RunEnd, TaskKey
 from sardinemast.jobs.commands import FinishedRun
 
-_ENDS = MappingProxyType({'done': RunEnd.done, 'failed': RunEnd.failed})
+_RUN_ENDS = MappingProxyType({'done': RunEnd.done, 'failed': RunEnd.failed})
 
 
-class Orphan(NamedTuple):
-    """Name a run at a worker that should not go on."""
+class OrphanRun(NamedTuple):
+    """Identify a reported run that must be stopped."""
 
     task: TaskKey
     number: int
 
 
-def collect_ends(contact: Contact, looked: WorkerPolled) -> list[FinishedRun]:
-    """Give the ends that were not noted before, and note them."""
-    ended = looked.answer.ended if looked.answer else ()
-    fresh = [one for one in ended if one.position > contact.ends.noted]
-    if fresh:
-        contact.ends.noted = max(one.position for one in fresh)
-    return [_make_over(one) for one in fresh]
+def collect_new_ends(
+    session: WorkerSession, polled: WorkerPolled
+) -> list[FinishedRun]:
+    """Return the ends not reported before, and advance the cursor."""
+    reported_ends = polled.answer.ended if polled.answer else ()
+    new_ends = [
+        one
+        for one in reported_ends
+        if one.position > session.end_cursor.reported
+    ]
+    if new_ends:
+        session.end_cursor.reported = max(one.position for one in new_ends)
+    return [_make_finished_run(one) for one in new_ends]
 
 
-def find_lost(
+def find_lost_runs(
     state: JobsState,
-    contact: Contact,
-    looked: WorkerPolled,
-    ending: set[TaskKey],
+    session: WorkerSession,
+    polled: WorkerPolled,
+    ending_tasks: set[TaskKey],
 ) -> list[FinishedRun]:
-    """Give the runs that the log has here and that surely do not exist.
+    """Return the runs in the log that certainly do not exist on the worker.
 
-    One that is not listed may still be on its way, unless the worker had
-    confirmed it before the look, or a higher fence came before it.
+    A run that is not reported may still start later, unless the worker
+    confirmed its start before the poll was sent or now refuses its fence.
     """
-    lost = []
-    for task, number in state.runs.get(looked.worker, {}).items():
-        listed = contact.listed.get(task)
-        if task in ending or (listed and listed.number == number):
+    lost_runs = []
+    for task, number in state.runs.get(polled.worker, {}).items():
+        reported = session.reported_runs.get(task)
+        if task in ending_tasks or (reported and reported.number == number):
             continue
-        if _cannot_come(contact, task, number, looked):
-            lost.append(FinishedRun(task, number, RunEnd.lost))
-    return lost
+        if _is_certainly_absent(session, task, number, polled):
+            lost_runs.append(FinishedRun(task, number, RunEnd.lost))
+    return lost_runs
 
 
-def find_orphans(state: JobsState, contact: Contact) -> list[Orphan]:
-    """Give the runs listed here that the log has ended or never had."""
-    runs = state.runs.get(contact.worker.name, {})
+def find_orphan_runs(
+    state: JobsState, session: WorkerSession
+) -> list[OrphanRun]:
+    """Return the reported runs that the log has ended or never had."""
+    runs = state.runs.get(session.worker.name, {})
     return [
-        Orphan(task, listed.number)
-        for task, listed in contact.listed.items()
-        if runs.get(task) != listed.number or state.jobs[task.job].is_over
+        OrphanRun(task, reported.number)
+        for task, reported in session.reported_runs.items()
+        if runs.get(task) != reported.number or state.jobs[task.job].is_over
     ]
 
 
-def _make_over(ended: ReportedEnd) -> FinishedRun:
+def _make_finished_run(reported_end: ReportedEnd) -> FinishedRun:
     return FinishedRun(
-        ended.task,
-        ended.number,
-        _ENDS.get(ended.result, RunEnd.lost),
-        ended.checkpoint,
+        reported_end.task,
+        reported_end.number,
+        _RUN_ENDS.get(reported_end.result, RunEnd.lost),
+        reported_end.checkpoint,
     )
 
 
-def _cannot_come(
-    contact: Contact,
+def _is_certainly_absent(
+    session: WorkerSession,
     task: TaskKey,
     number: int,
-    looked: WorkerPolled,
+    polled: WorkerPolled,
 ) -> bool:
-    sent = contact.sent.get(task)
-    # What this leader has not sent was recorded by an earlier one, whose
-    # orders end with the first look under this term's fence.
-    if sent is None or sent.number != number:
+    sent_start = session.sent_starts.get(task)
+    # A start that this leader has not sent is of an earlier leader. The worker
+    # refuses it since the first poll with a fence of this term.
+    if sent_start is None or sent_start.number != number:
         return True
-    if sent.fence < looked.fence:
+    if sent_start.fence < polled.fence:
         return True
-    confirmed_s = sent.confirmed_s
-    return confirmed_s is not None and confirmed_s < looked.sent_s
+    confirmed_s = sent_start.confirmed_s
+    return confirmed_s is not None and confirmed_s < polled.sent_s
--- a/src/sardinemast/dispatch/_settings.py
+++ b/src/sardinemast/dispatch/_settings.py
@@ -1,21 +1,24 @@
-"""Times and limits of the leader's work with workers."""
+"""Settings of the dispatcher: timeouts, leases and pool sizes."""
 
 from typing import NamedTuple
 
 
 class PoolPolicy(NamedTuple):
-    """Say how many workers a pool keeps.
+    """Configure how many workers a pool keeps.
 
-    Until its first peak a pool keeps ``opening_share`` of its usual workers:
-    enough for the two seconds that others need to come. In a peak it has room
-    for ``rise_factor`` times what is asked for; as long as it lacks less than
-    ``short_share`` of its room, tasks that end make that good. It gets at most
-    ``most_factor`` times its usual workers. Between peaks it keeps room for
-    ``calm_factor`` times what it runs, and ``calm_spare`` workers more. A
-    worker that runs nothing for ``idle_s`` may be moved.
+    The baseline of a pool is the number of instances that it started with.
 
-    When a peak begins, and right before it is due again, a pool gets room for
-    ``expected_factor`` times what the first moments of the last one asked for.
+    Before its first peak, a pool keeps ``opening_share`` of its baseline,
+    which carries the load until moved instances arrive. During a peak its
+    capacity is ``rise_factor`` times the demand; a shortfall below
+    ``short_share`` of the capacity is left to tasks that finish. A pool never
+    grows beyond ``most_factor`` times its baseline, plus the workers that its
+    long-running tasks take. Between peaks it keeps capacity for
+    ``calm_factor`` times its load, plus ``calm_spare`` workers. A worker may
+    be moved once it has been idle for ``idle_s``.
+
+    Shortly before an expected peak and at its start, a pool gets capacity for
+    ``expected_factor`` times the demand at the start of the previous peak.
     """
 
     opening_share: float = 0.5
@@ -29,25 +32,33 @@
 
 
 class DispatchSettings(NamedTuple):
-    """Set the times; each is bounded by what workers promise.
+    """Configure timeouts and leases of the dispatcher.
+
+    A worker stops its runs when its lease of ``lease_ms`` expires. The lease
+    outlasts a leader election and a few lost messages. A worker's clock may
+    be slow by the fraction ``drift``; ``margin_s`` is added before the leader
+    treats a lease as expired. A poll waits up to ``wait_ms`` for a run to
+    end, or ``watch_ms`` on workers that run best-effort tasks beside
+    latency-sensitive ones. A request times out after ``answer_s``; failed
+    polls are retried after ``retry_s``, with a backoff up to ``retry_max_s``.
+    A stop is repeated no sooner than after ``stop_again_s``.
+
+    A worker that has been silent for ``quiet_s`` gets no new runs. Idle
+    workers only send announcements, so ``idle_quiet_s`` applies to them. A
+    worker that has been silent for ``forget_s`` is removed.
 
-    ``lease_ms`` is how long a worker's runs go on when it hears nothing: long
-    enough to outlast an election of about a second and a lost word or two,
-    short enough that a silent worker's tasks start again soon. A worker's
-    clock may be slow by ``drift``. A look waits up to ``wait_ms`` for an end,
-    or ``watch_ms`` where the tails of serving tasks must be followed.
-    ``quiet_s`` is how long a worker may be silent before it gets nothing new;
-    idle ones only send announcements, so they have ``idle_quiet_s``.
+    A new leader sends no order for an instance for ``settle_s`` unless the
+    log shows that the instance was not ordered for that long: an order of an
+    earlier leader may still be in flight, and instances do not check fencing
+    tokens. Wall clocks of two processes differ by at most ``clock_doubt_s``,
+    jumps included.
 
-    A new leader orders nothing for an instance before ``settle_s``, unless the
-    log has not named it for as long: until then an order of the one before may
-    be under way, and nothing checks its fence. It covers the platform's bound
-    for two holders in turn and a freeze between check and send. A worker is
-    emptied for ``empty_max_s`` at most, the longest of usual tasks. An instance
-    whose successor is not heard after ``upkeep_max_s`` is counted as back, and
-    one that refuses and is listed as down for ``lost_after_s`` as lost for
-    good: racks were dark for ten seconds. Times of day of two processes differ
-    by ``clock_doubt_s`` at most, jumps of both included.
+    A worker is drained for at most ``empty_max_s`` before its instance is
+    taken down. An unanswered maintenance order is repeated after
+    ``order_again_s``. Maintenance of an instance counts as done after
+    ``upkeep_max_s`` even if no worker has announced itself there. An instance
+    that refuses maintenance and has been listed as down for ``lost_after_s``
+    is given up.
     """
 
     lease_ms: int = 5000
--- a/src/sardinemast/dispatch/_state.py
+++ b/src/sardinemast/dispatch/_state.py
@@ -1,4 +1,4 @@
-"""What the parts of the dispatcher share."""
+"""State shared by the components of the dispatcher."""
 
 from collections.abc import Iterator
 
@@ -11,7 +11,7 @@
 from sardinemast.dispatch._order_times import OrderTimes
 from sardinemast.dispatch._pool_load import PoolLoad
 from sardinemast.dispatch._settings import DispatchSettings
-from sardinemast.dispatch._worker_session import Contact, SentStop
+from sardinemast.dispatch._worker_session import SentStop, WorkerSession
 from sardinemast.jobs import (
     Advice,
     Command,
@@ -26,11 +26,12 @@
 
 
 class DispatchState:
-    """Hold the log's state, the contacts and what is gathered of a term.
+    """Hold the replicated job state and the leader's state of one term.
 
-    ``ends`` is what workers have told and the log does not have yet. With
-    ``is_changed`` room or tasks may have come since the last plan. ``moving``
-    are the instances that change their pool. ``now_ms`` is the time of day.
+    ``pending_ends`` holds ends of runs that are not in the log yet.
+    ``needs_planning`` is set when tasks or capacity may have been added since
+    the last plan. ``moving`` holds the instances that are changing pools.
+    ``now_ms`` is the wall clock time.
     """
 
     def __init__(self, settings: DispatchSettings) -> None:
@@ -40,30 +41,30 @@
         self.started_s: float = 0
         self.now_ms = 0
         self.outputs: list[DispatchOutput] = []
-        self.contacts: dict[str, Contact] = {}
-        self.ends: dict[TaskKey, FinishedRun] = {}
-        self.is_changed = True
+        self.sessions: dict[str, WorkerSession] = {}
+        self.pending_ends: dict[TaskKey, FinishedRun] = {}
+        self.needs_planning = True
         self.loads: dict[str, PoolLoad] = {}
         self.order_times = OrderTimes()
         self.moving: set[str] = set()
 
     def start_term(self, state: JobsState, term: int, now_s: float) -> None:
-        """Know nothing but the log."""
+        """Discard everything but the replicated state."""
         self.jobs = state
         self.term = term
         self.started_s = now_s
-        self.contacts.clear()
-        self.ends.clear()
-        self.is_changed = True
+        self.sessions.clear()
+        self.pending_ends.clear()
+        self.needs_planning = True
         self.loads = {}
         self.moving.clear()
 
     @property
-    def over_at_s(self) -> float:
-        """Give when leases have ended that the leader before has given.
+    def earlier_leases_end_s(self) -> float:
+        """Return when all leases granted by earlier leaders have expired.
 
-        It may have prolonged one right until its own lease ended, which it
-        had when this term began.
+        An earlier leader may have renewed worker leases until its own lease
+        expired, which was before this term started.
         """
         settings = self.settings
         lease_s = settings.lease_ms / _MS / (1 - settings.drift)
@@ -71,23 +72,24 @@
 
     @property
     def settled_at_s(self) -> float:
-        """Give when no earlier leader's order for any instance may come."""
+        """Return when orders of earlier leaders can no longer arrive."""
         return self.started_s + self.settings.settle_s
 
-    def is_settled(self, instance: str, now_s: float) -> bool:
-        """Tell whether no earlier leader's order for an instance may come."""
+    def may_order(self, instance: str, now_s: float) -> bool:
+        """Check that no order of an earlier leader can arrive any more."""
         if now_s >= self.settled_at_s:
             return True
-        # An order for maintenance is repeated until it is answered.
-        if self._is_ordered(instance):
+        # A maintenance order is repeated until it is answered, so the earlier
+        # leader may have sent it long after the log recorded it.
+        if self._has_open_order(instance):
             return False
-        if self._is_long_past(instance):
+        if self._is_last_order_past(instance):
             return True
-        last_s = self.order_times.get_last_s(instance)
+        last_s = self.order_times.get_last_order_s(instance)
         return now_s >= last_s + self.settings.settle_s
 
-    def list_upkeeps(self, *wanted: MaintenanceStatus) -> set[str]:
-        """Give the instances whose maintenance is that far."""
+    def list_instances_by_status(self, *wanted: MaintenanceStatus) -> set[str]:
+        """Return the instances of waves that have one of the statuses."""
         return {
             item.instance
             for wave in self.jobs.waves.values()
@@ -96,93 +98,96 @@
         }
 
     def propose(self, command: Command) -> None:
-        """Put a command into the log."""
+        """Propose a command for the log."""
         self.outputs.append(Propose(command))
 
     def log(self, event: str, subject: str, **details: str | float) -> None:
-        """Have a decision logged."""
+        """Write a decision to the process log."""
         self.outputs.append(LogDecision(event, subject, details))
 
     def get_advice(self, step: StepState) -> Advice | None:
-        """Give the policy that a step's queue asks, if there is one."""
+        """Return the settings of the external policy for a step, if any."""
         return self.jobs.get_queue(step).advice
 
     def get_runs(self, worker: str) -> dict[TaskKey, int]:
-        """Give the runs that the log has at a worker."""
+        """Return the recorded runs of a worker: run number by task."""
         return self.jobs.runs.get(worker, {})
 
-    def note_end(self, over: FinishedRun) -> None:
-        """Gather an end, if it is that of the task's newest run."""
-        step = self.jobs.find_step(over.task)
-        run = step.running.get(over.task.position) if step else None
-        if run is not None and run.number == over.number:
-            self.ends[over.task] = over
+    def record_end(self, finished_run: FinishedRun) -> None:
+        """Queue an end to be recorded, if it is of the task's current run."""
+        step = self.jobs.find_step(finished_run.task)
+        run = step.running.get(finished_run.task.position) if step else None
+        if run is not None and run.number == finished_run.number:
+            self.pending_ends[finished_run.task] = finished_run
 
     def iterate_steps_on(
         self,
         worker: str,
     ) -> Iterator[tuple[TaskKey, int, StepState]]:
-        """Give each task that runs on a worker, its run and its step."""
+        """Yield each task on a worker with its run number and step."""
         for task, number in self.get_runs(worker).items():
             step = self.jobs.find_step(task)
             if step is not None:
                 yield task, number, step
 
-    def stop(
+    def stop_run(
         self,
-        contact: Contact,
+        session: WorkerSession,
         task: TaskKey,
         number: int,
         now_s: float,
     ) -> None:
-        """Have a run stopped; asked too often, nothing is sent."""
-        known = contact.stopping.get(task)
-        if known is not None and known.number == number:
-            if now_s < known.sent_s + self.settings.stop_again_s:
+        """Send a stop for a run, at most once per ``stop_again_s``."""
+        last_stop = session.sent_stops.get(task)
+        if last_stop is not None and last_stop.number == number:
+            if now_s < last_stop.sent_s + self.settings.stop_again_s:
                 return
-        contact.stopping[task] = SentStop(number, now_s)
-        worker = contact.worker.name
+        session.sent_stops[task] = SentStop(number, now_s)
+        worker = session.worker.name
         self.log('run.stopped', str(task), run=number, worker=worker)
         self.outputs.append(
             StopRun(
-                contact.worker,
+                session.worker,
                 task,
                 number,
-                contact.fence,
+                session.fence,
                 self.settings.answer_s,
             ),
         )
 
     def stop_step(self, step: StepState, now_s: float) -> None:
-        """Have all runs of a step stopped."""
+        """Stop all runs of a step."""
         for position, run in step.running.items():
-            contact = self.contacts.get(run.worker)
-            if contact is not None:
+            session = self.sessions.get(run.worker)
+            if session is not None:
                 task = step.get_task(position)
-                self.stop(contact, task, run.number, now_s)
+                self.stop_run(session, task, run.number, now_s)
 
     def stop_job(self, job_name: str, now_s: float) -> None:
-        """Have all runs of a job that is over stopped."""
+        """Stop all runs of a job that is over."""
         job = self.jobs.jobs.get(job_name)
         if job is not None and job.is_over:
             for step in job.iterate_steps():
                 self.stop_step(step, now_s)
 
-    def _is_long_past(self, instance: str) -> bool:
-        """Tell whether the last order for an instance was long ago, by date.
+    def _is_last_order_past(self, instance: str) -> bool:
+        """Check by wall clock whether the last order can no longer arrive.
 
-        A process that starts again has not seen when the log named which
-        instance. After all have lost power in a peak, pools would lack room
-        for the whole settling time, although the instances that stand by
-        were switched off long before. Times of day may be off or jump, so
-        that they count only with much to spare.
+        A restarted process does not know when orders were applied, only the
+        time that the log records. Without this check, instances would stay
+        blocked for ``settle_s`` after all control processes restart.
         """
-        noted_ms = self.jobs.last_order_ms.get(instance)
-        if noted_ms is None:
+        last_order_at_ms = self.jobs.last_order_ms.get(instance)
+        if last_order_at_ms is None:
             return True
         settings = self.settings
         needed_s = settings.settle_s + settings.clock_doubt_s
-        return noted_ms > 0 and self.now_ms >= noted_ms + needed_s * _MS
+        return (
+            last_order_at_ms > 0
+            and self.now_ms >= last_order_at_ms + needed_s * _MS
+        )
 
-    def _is_ordered(self, instance: str) -> bool:
-        return instance in self.list_upkeeps(MaintenanceStatus.ordered)
+    def _has_open_order(self, instance: str) -> bool:
+        return instance in self.list_instances_by_status(
+            MaintenanceStatus.ordered
+        )
--- a/src/sardinemast/dispatch/_stragglers.py
+++ b/src/sardinemast/dispatch/_stragglers.py
@@ -1,187 +1,203 @@
-"""Find tasks that stand still or crawl, and have them start elsewhere.
+"""Detect stuck and slow runs and restart them on other workers.
 
-A worker may be healthy by all that it says and work at a sixth of its speed,
-or not at all. Its tasks never fail; they are only late, and with them the
-jobs that wait for their last task.
+A worker may report that it is healthy while its runs make little or no
+progress. Such runs never fail, but they delay the jobs that need them.
 """
 
 from typing import NamedTuple
 
 from sardinemast.dispatch._state import DispatchState
-from sardinemast.dispatch._worker_session import Contact
+from sardinemast.dispatch._worker_session import WorkerSession
 from sardinemast.jobs import RunEnd, StepState, TaskKey
 from sardinemast.jobs.commands import FinishedRun
 
 _MS = 1000
-_WHOLE_PERCENT = 100
-# Declared times are off by half to nearly twofold, so that a sound task may
-# take 2 of them; slow workers took 4 to 8.
-_PATIENCE = 2.5
-_PATIENCE_S = 0.3
-# One run alone may be a long one, declared far too short; a worker that crawls
-# holds up all that it runs.
-_PROOF_RUNS = 2
-# Stopped and started again a task takes its whole time, and up to 0.9 s for
-# the stop. It must have more than that before it where it is.
-_REST_FACTOR = 1.5
-_REST_S = 0.5
-# A task that crawls everywhere is slow itself.
-_RUNS_MAX = 2
-# How far a run is tells its speed only after a moment; sound ones seem to need
-# up to twice their declared time.
-_FIRST_S = 0.25
-_CRAWL_FACTOR = 3.0
-# The worker is tried again after this, twice as long each time.
+_FULL_PERCENT = 100
+# A run is overdue after this multiple of its expected duration. Estimates of
+# healthy runs are off by a factor of up to two.
+_OVERDUE_FACTOR = 2.5
+_OVERDUE_EXTRA_S = 0.3
+# A single slow run may have a wrong estimate; a slow worker delays all runs.
+_SLOW_RUNS_MIN = 2
+# A run is only stopped if its remaining time exceeds the cost of a restart: the
+# whole duration, with a margin, and the time to stop it.
+_RESTART_FACTOR = 1.5
+_RESTART_COST_S = 0.5
+# A task that is also slow on another worker is slow itself.
+_RUNS_PER_TASK_MAX = 2
+# Progress shows the speed of a run only after a minimum time. A run is slow if
+# its projected duration exceeds this multiple of the expected one.
+_OBSERVED_MIN_S = 0.25
+_SLOW_FACTOR = 3.0
+# Backoff of a slow worker, doubled each time.
 _AVOID_S = 2.0
 _DOUBLINGS_MAX = 3
-# A run within this much of its usual time shows that the worker is sound.
-_SOUND_FACTOR = 1.8
-# Weight of one run in the usual time of its queue.
-_LEARNING = 0.1
+# A run that ends within this multiple shows that its worker is healthy.
+_HEALTHY_FACTOR = 1.8
+# Weight of the latest run in the moving average of its queue.
+_LEARNING_RATE = 0.1
 
 
-class _Seen(NamedTuple):
-    """Hold a run that is followed; its job may be forgotten before it ends."""
+class _TrackedRun(NamedTuple):
+    """Hold what is needed of a run when its job may be gone already."""
 
     number: int
-    since_s: float
+    started_s: float
     queue: str
     estimate_ms: int
 
 
-_SeenRuns = dict[TaskKey, _Seen]
+_TrackedRuns = dict[TaskKey, _TrackedRun]
 
 
 class StragglerDetector:
-    """Follow how far runs are, and stop those that another worker overtakes."""
+    """Track the progress of runs and stop those that are faster elsewhere."""
 
     def __init__(self, state: DispatchState) -> None:
         self._state = state
-        self._seen: dict[str, _SeenRuns] = {}
-        self._usual: dict[str, float] = {}
-        self._slow: dict[str, int] = {}
+        self._tracked: dict[str, _TrackedRuns] = {}
+        self._duration_factors: dict[str, float] = {}
+        self._slow_counts: dict[str, int] = {}
 
     def start_term(self) -> None:
-        """Know nothing of runs of a former term."""
-        self._seen.clear()
-        self._slow.clear()
+        """Discard the runs of the previous term."""
+        self._tracked.clear()
+        self._slow_counts.clear()
 
-    def note_ends(
+    def record_ends(
         self,
-        contact: Contact,
+        session: WorkerSession,
         ends: list[FinishedRun],
         now_s: float,
     ) -> None:
-        """Learn how long runs take, measured in their declared time."""
-        known = self._seen.get(contact.worker.name, {})
-        for over in ends:
-            seen = known.get(over.task)
-            if seen is None or over.end is not RunEnd.done:
+        """Update the ratio of actual to declared durations by queue."""
+        known_runs = self._tracked.get(session.worker.name, {})
+        for finished_run in ends:
+            tracked = known_runs.get(finished_run.task)
+            if tracked is None or finished_run.end is not RunEnd.done:
                 continue
-            if seen.number == over.number:
-                taken_s = now_s - seen.since_s
-                factor = taken_s * _MS / seen.estimate_ms
-                self._learn(contact.worker.name, seen.queue, factor)
-
-    def judge(self, contact: Contact, now_s: float) -> None:
-        """Stop the runs at a worker that are sooner done elsewhere."""
-        seen = self._follow(contact, now_s)
-        slow = self._list_slow(contact, seen, now_s)
-        if len(slow) < _PROOF_RUNS:
+            if tracked.number == finished_run.number:
+                duration_s = now_s - tracked.started_s
+                factor = duration_s * _MS / tracked.estimate_ms
+                self._record_duration(
+                    session.worker.name, tracked.queue, factor
+                )
+
+    def stop_stragglers(self, session: WorkerSession, now_s: float) -> None:
+        """Stop slow runs on a worker that would finish sooner elsewhere."""
+        tracked = self._track_runs(session, now_s)
+        slow = self._list_slow(session, tracked, now_s)
+        if len(slow) < _SLOW_RUNS_MIN:
             return
-        self._avoid(contact, now_s)
+        self._avoid(session, now_s)
         for task in slow:
-            number = seen[task].number
-            if number < _RUNS_MAX and self._has_room(task, contact, now_s):
+            number = tracked[task].number
+            if number < _RUNS_PER_TASK_MAX and self._has_capacity_elsewhere(
+                task, session, now_s
+            ):
                 self._state.log(
                     'run.straggles',
                     str(task),
                     run=number,
-                    worker=contact.worker.name,
-                    since_s=round(now_s - seen[task].since_s, 3),
-                    percent=contact.listed[task].percent,
+                    worker=session.worker.name,
+                    since_s=round(now_s - tracked[task].started_s, 3),
+                    percent=session.reported_runs[task].percent,
                 )
-                self._state.stop(contact, task, number, now_s)
-
-    def _learn(self, worker: str, queue: str, factor: float) -> None:
-        usual = self._usual.get(queue, 1)
-        self._usual[queue] = usual + (factor - usual) * _LEARNING
-        if factor < _SOUND_FACTOR * usual:
-            self._slow.pop(worker, None)
-
-    def _follow(self, contact: Contact, now_s: float) -> _SeenRuns:
-        """Give since when each run is listed; others are forgotten."""
-        name = contact.worker.name
-        known = self._seen.get(name, {})
-        seen: _SeenRuns = {}
-        for task, run in contact.listed.items():
-            before = known.get(task)
-            if before is None or before.number != run.number:
+                self._state.stop_run(session, task, number, now_s)
+
+    def _record_duration(self, worker: str, queue: str, factor: float) -> None:
+        usual_factor = self._duration_factors.get(queue, 1)
+        self._duration_factors[queue] = (
+            usual_factor + (factor - usual_factor) * _LEARNING_RATE
+        )
+        if factor < _HEALTHY_FACTOR * usual_factor:
+            self._slow_counts.pop(worker, None)
+
+    def _track_runs(self, session: WorkerSession, now_s: float) -> _TrackedRuns:
+        """Update and return the tracked runs of a worker."""
+        name = session.worker.name
+        known_runs = self._tracked.get(name, {})
+        tracked: _TrackedRuns = {}
+        for task, run in session.reported_runs.items():
+            tracked_run = known_runs.get(task)
+            if tracked_run is None or tracked_run.number != run.number:
                 step = self._state.jobs.find_step(task)
-                if step is None or not _is_judged(step, contact):
+                if step is None or not _is_comparable(step, session):
                     continue
-                begun_s = _get_begin_s(contact, task, run.number, now_s)
-                before = _Seen(
+                start_s = _get_start_s(session, task, run.number, now_s)
+                tracked_run = _TrackedRun(
                     run.number,
-                    begun_s,
+                    start_s,
                     self._state.jobs.get_queue(step).name,
                     step.spec.estimate_ms,
                 )
-            seen[task] = before
-        self._seen[name] = seen
-        return seen
+            tracked[task] = tracked_run
+        self._tracked[name] = tracked
+        return tracked
 
     def _list_slow(
         self,
-        contact: Contact,
-        seen: _SeenRuns,
+        session: WorkerSession,
+        tracked: _TrackedRuns,
         now_s: float,
     ) -> list[TaskKey]:
         slow = [
             task
-            for task, one in seen.items()
-            if task not in contact.stopping
-            and self._is_slow(one, contact.listed[task].percent, now_s)
+            for task, run in tracked.items()
+            if task not in session.sent_stops
+            and self._is_slow(run, session.reported_runs[task].percent, now_s)
         ]
-        # What a caller declares for a step is wrong for all of its tasks, so
-        # that two of one step prove nothing before they are overdue.
-        if len({task[:-1] for task in slow}) >= _PROOF_RUNS:
+        # All tasks of a step share one estimate, which may be wrong. Slow runs
+        # of a single step therefore only count once they are overdue.
+        if len({task[:-1] for task in slow}) >= _SLOW_RUNS_MIN:
             return slow
-        return [task for task in slow if self._is_overdue(seen[task], now_s)]
+        return [task for task in slow if self._is_overdue(tracked[task], now_s)]
 
-    def _is_slow(self, seen: _Seen, percent: float, now_s: float) -> bool:
-        since_s = now_s - seen.since_s
+    def _is_slow(
+        self, tracked: _TrackedRun, percent: float, now_s: float
+    ) -> bool:
+        elapsed_s = now_s - tracked.started_s
         done = max(percent, 1)
-        whole_s = since_s * _WHOLE_PERCENT / done
-        usual_s = self._get_usual_s(seen)
-        # A worker that crawls shows it long before its runs are overdue, by
-        # how far they are. To wait for that cost a job most of its time.
-        crawls = since_s >= _FIRST_S and whole_s >= _CRAWL_FACTOR * usual_s
-        if not crawls and not self._is_overdue(seen, now_s):
+        total_s = elapsed_s * _FULL_PERCENT / done
+        expected_s = self._get_expected_s(tracked)
+        # Progress reveals a slow worker long before its runs are overdue.
+        is_progress_slow = (
+            elapsed_s >= _OBSERVED_MIN_S
+            and total_s >= _SLOW_FACTOR * expected_s
+        )
+        if not is_progress_slow and not self._is_overdue(tracked, now_s):
             return False
-        return whole_s - since_s > _REST_FACTOR * usual_s + _REST_S
+        return (
+            total_s - elapsed_s > _RESTART_FACTOR * expected_s + _RESTART_COST_S
+        )
 
-    def _is_overdue(self, seen: _Seen, now_s: float) -> bool:
-        patience_s = _PATIENCE * self._get_usual_s(seen) + _PATIENCE_S
-        return now_s - seen.since_s >= patience_s
+    def _is_overdue(self, tracked: _TrackedRun, now_s: float) -> bool:
+        allowed_s = (
+            _OVERDUE_FACTOR * self._get_expected_s(tracked) + _OVERDUE_EXTRA_S
+        )
+        return now_s - tracked.started_s >= allowed_s
 
-    def _get_usual_s(self, seen: _Seen) -> float:
-        return seen.estimate_ms / _MS * self._usual.get(seen.queue, 1)
+    def _get_expected_s(self, tracked: _TrackedRun) -> float:
+        return (
+            tracked.estimate_ms
+            / _MS
+            * self._duration_factors.get(tracked.queue, 1)
+        )
 
-    def _avoid(self, contact: Contact, now_s: float) -> None:
-        name = contact.worker.name
-        if now_s < contact.distrust.until_s:
+    def _avoid(self, session: WorkerSession, now_s: float) -> None:
+        name = session.worker.name
+        if now_s < session.backoff.until_s:
             return
-        times = self._slow.get(name, 0)
-        self._slow[name] = times + 1
-        avoid_s = _AVOID_S * 2 ** min(times, _DOUBLINGS_MAX)
-        contact.distrust.until_s = now_s + avoid_s
+        slow_count = self._slow_counts.get(name, 0)
+        self._slow_counts[name] = slow_count + 1
+        avoid_s = _AVOID_S * 2 ** min(slow_count, _DOUBLINGS_MAX)
+        session.backoff.until_s = now_s + avoid_s
         self._state.log('worker.slow', name, avoid_s=avoid_s)
 
-    def _has_room(
+    def _has_capacity_elsewhere(
         self,
         task: TaskKey,
-        contact: Contact,
+        session: WorkerSession,
         now_s: float,
     ) -> bool:
         state = self._state
@@ -189,35 +205,34 @@
         if step is None:
             return False
         fitting = state.jobs.usage.free.iterate_fitting(
-            contact.worker.pool,
+            session.worker.pool,
             step.spec.reserved_size,
         )
         return any(
-            state.contacts[name].is_usable(now_s, has_runs=True)
+            state.sessions[name].is_usable(now_s, has_runs=True)
             for name in fitting
-            if name != contact.worker.name and name in state.contacts
+            if name != session.worker.name and name in state.sessions
         )
 
 
-def _get_begin_s(
-    contact: Contact,
+def _get_start_s(
+    session: WorkerSession,
     task: TaskKey,
     number: int,
     now_s: float,
 ) -> float:
-    # A worker is looked at when something ends there, so that a run is often
-    # listed late. Counted from then, short runs would seem to take no time,
-    # and all others would be taken for slow.
-    sent = contact.sent.get(task)
-    if sent is None or sent.number != number:
+    # A run often appears late in a report. Counted from there, short runs would
+    # seem to take no time, and all other runs would seem slow.
+    sent_start = session.sent_starts.get(task)
+    if sent_start is None or sent_start.number != number:
         return now_s
-    return sent.confirmed_s or now_s
+    return sent_start.confirmed_s or now_s
 
 
-def _is_judged(step: StepState, contact: Contact) -> bool:
-    wanted = step.spec
-    # Members of a gang wait for each other, and a task far from its data is
-    # slow wherever there is room for it.
-    if wanted.is_long_running or wanted.is_gang or not wanted.estimate_ms:
+def _is_comparable(step: StepState, session: WorkerSession) -> bool:
+    spec = step.spec
+    # Members of a gang wait for each other, and a task away from its data is
+    # slow on any worker.
+    if spec.is_long_running or spec.is_gang or not spec.estimate_ms:
         return False
-    return wanted.data_rack in {'', contact.worker.rack}
+    return spec.data_rack in {'', session.worker.rack}
--- a/src/sardinemast/dispatch/_throttling.py
+++ b/src/sardinemast/dispatch/_throttling.py
@@ -1,98 +1,100 @@
-"""Slow down fillers where serving tasks respond too late."""
+"""Throttle best-effort tasks beside latency-sensitive tasks."""
 
 from collections.abc import Iterator
 
-from sardinemast.dispatch._worker_session import Contact
+from sardinemast.dispatch._worker_session import WorkerSession
 from sardinemast.jobs import JobsState, TaskKey
 
 FULL_PERCENT = 100
-# A tail is a rough figure of the last half second. Fillers give way before
-# it reaches the limit, and come back in steps once it is well below.
-_TIGHT = 0.85
-_EASY = 0.6
+# Ratios of tail latency to its limit. Best-effort tasks are throttled before
+# the limit is reached, and released in steps once latency is well below it.
+_THROTTLE_ABOVE_RATIO = 0.85
+_RELEASE_BELOW_RATIO = 0.6
 _STEP_PERCENT = 20
-_LEAST_PERCENT = 15
-# The figure must have followed the last change before it counts again.
-SETTLE_S = 0.7
+_MIN_PERCENT = 15
+# Time until the reported tail latency reflects a change.
+CHANGE_INTERVAL_S = 0.7
 
 
-class Pacing:
-    """Hold at which speed each worker's fillers work."""
+class BestEffortThrottle:
+    """Decide the speed of the best-effort tasks on each worker."""
 
     def __init__(self) -> None:
         self._percents: dict[str, int] = {}
         self._changed_s: dict[str, float] = {}
         self._sent: dict[tuple[str, TaskKey, int], int] = {}
 
-    def note_look(
+    def update(
         self,
         state: JobsState,
-        contact: Contact,
+        session: WorkerSession,
         now_s: float,
     ) -> None:
-        """Judge the tails that a worker has just told."""
-        name = contact.worker.name
+        """Adjust the speed to the tail latencies in a worker's report."""
+        name = session.worker.name
         if (
             not state.usage.best_effort_counts[name]
             and name not in self._percents
         ):
             return
-        worst = max(_list_tails(state, contact), default=0)
+        worst_ratio = max(_iterate_latency_ratios(state, session), default=0)
         changed_s = self._changed_s.get(name, float('-inf'))
-        if now_s < changed_s + SETTLE_S:
+        if now_s < changed_s + CHANGE_INTERVAL_S:
             return
         percent = self._percents.get(name, FULL_PERCENT)
-        wanted = _adjust(percent, worst)
-        if wanted != percent:
-            self._percents[name] = wanted
+        new_percent = _compute_percent(percent, worst_ratio)
+        if new_percent != percent:
+            self._percents[name] = new_percent
             self._changed_s[name] = now_s
 
-    def choose(
+    def list_changes(
         self,
         state: JobsState,
-        contact: Contact,
+        session: WorkerSession,
     ) -> list[tuple[TaskKey, int, int]]:
-        """Give each filler whose speed differs: task, run, percent."""
-        name = contact.worker.name
+        """Return task, run number and percentage of each run to change."""
+        name = session.worker.name
         if not state.usage.best_effort_counts[name]:
             return []
         percent = self._percents.get(name, FULL_PERCENT)
-        wanted = []
-        for task, listed in contact.listed.items():
-            key = (name, task, listed.number)
+        changes = []
+        for task, reported in session.reported_runs.items():
+            key = (name, task, reported.number)
             sent = self._sent.get(key, FULL_PERCENT)
-            if sent != percent and _is_filler(state, task):
-                wanted.append((task, listed.number, percent))
-        return wanted
+            if sent != percent and _is_best_effort(state, task):
+                changes.append((task, reported.number, percent))
+        return changes
 
-    def note_sent(
+    def record_sent(
         self,
         worker: str,
         task: TaskKey,
         number: int,
         percent: int,
     ) -> None:
-        """Remember the speed that a run was told."""
+        """Record the percentage that was sent for a run."""
         self._sent[(worker, task, number)] = percent
 
 
-def _list_tails(state: JobsState, contact: Contact) -> Iterator[float]:
-    for task, listed in contact.listed.items():
+def _iterate_latency_ratios(
+    state: JobsState, session: WorkerSession
+) -> Iterator[float]:
+    for task, reported in session.reported_runs.items():
         limit_ms = _get_limit_ms(state, task)
         if limit_ms:
-            yield listed.gauge / limit_ms
+            yield reported.gauge / limit_ms
 
 
-def _adjust(percent: int, worst: float) -> int:
-    if worst > _TIGHT:
+def _compute_percent(percent: int, worst_ratio: float) -> int:
+    if worst_ratio > _THROTTLE_ABOVE_RATIO:
         half = percent // 2
-        return half if half >= _LEAST_PERCENT else 0
-    if worst < _EASY:
+        return half if half >= _MIN_PERCENT else 0
+    if worst_ratio < _RELEASE_BELOW_RATIO:
         return min(percent + _STEP_PERCENT, FULL_PERCENT)
     return percent
 
 
-def _is_filler(state: JobsState, task: TaskKey) -> bool:
+def _is_best_effort(state: JobsState, task: TaskKey) -> bool:
     step = state.find_step(task)
     return step is not None and step.spec.is_best_effort
 
--- a/src/sardinemast/dispatch/_tickets.py
+++ b/src/sardinemast/dispatch/_tickets.py
@@ -1,111 +1,112 @@
-"""Tickets of an outside policy that allows only some workers to run a step."""
+"""Request and cache tickets of the external placement policy."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 from sardinemast.dispatch._events import AdviceAnswered, RequestAdvice
 from sardinemast.dispatch._state import DispatchState
-from sardinemast.dispatch._step_priority import get_order
+from sardinemast.dispatch._step_priority import get_step_priority
 from sardinemast.jobs import StepKey, StepState, Worker
 
 _MS = 1000
-# What a job's target allows for: its chain counts one question about so many.
-_ASKED_MAX = 30
-# A start takes some milliseconds to its worker; a ticket must last until then.
-_SPARE_S = 0.1
-# The service works through the questions of this process one by one; a
-# question without an answer or turned away is put again after this.
-_AGAIN_S = 0.5
+# A job's target allows for one request with this many workers.
+_REQUESTED_WORKERS_MAX = 30
+# A ticket must still be valid when the start reaches its worker.
+_EXPIRY_MARGIN_S = 0.1
+# Delay before a request is repeated that failed or was not answered.
+_RETRY_S = 0.5
 
 
-class _Known(NamedTuple):
-    """Hold what the policy said of one life of a worker."""
+class _CachedTicket(NamedTuple):
+    """Hold the policy's answer for one boot of a worker, '' if denied."""
 
     ticket: str
     boot_ms: int
-    until_s: float
+    expires_s: float
 
 
-class Tickets:
-    """Ask which workers may run a step, and keep the tickets.
+class TicketCache:
+    """Request tickets to run steps on workers, and cache the answers.
 
-    The policy takes its time for each worker that is named, and one question
-    after the other. So only workers with room are named, the emptiest first,
-    and the most pressing step is asked about first.
+    The policy serves one request at a time and needs time per worker. A
+    request therefore names only workers with free capacity, emptiest first,
+    and steps are served by priority.
     """
 
     def __init__(self, state: DispatchState) -> None:
         self._state = state
-        self._known: dict[StepKey, dict[str, _Known]] = {}
-        self._asked: RequestAdvice | None = None
-        self._next_s = float('-inf')
+        self._cache: dict[StepKey, dict[str, _CachedTicket]] = {}
+        self._pending: RequestAdvice | None = None
+        self._next_request_s = float('-inf')
 
     def start_term(self) -> None:
-        """Forget what was known in a former term."""
-        self._known.clear()
-        self._asked = None
-        self._next_s = float('-inf')
+        """Discard the state of the previous term."""
+        self._cache.clear()
+        self._pending = None
+        self._next_request_s = float('-inf')
 
-    def find(self, step: StepState, worker: Worker, now_s: float) -> str:
-        """Give the ticket for a start, empty where there is none."""
-        known = self._find_known(step.key, worker, now_s)
-        return known.ticket if known else ''
+    def get_ticket(self, step: StepState, worker: Worker, now_s: float) -> str:
+        """Return the valid ticket for a start, or an empty string."""
+        cached = self._find_cached(step.key, worker, now_s)
+        return cached.ticket if cached else ''
 
     def is_allowed(self, step: StepState, worker: Worker, now_s: float) -> bool:
-        """Tell whether a step may start at a worker now."""
+        """Check whether a step may start on a worker."""
         if self._state.get_advice(step) is None:
             return True
-        return bool(self.find(step, worker, now_s))
+        return bool(self.get_ticket(step, worker, now_s))
 
-    def forget(self, step: StepKey, worker: str) -> None:
-        """Forget a ticket that a worker did not take."""
-        self._known.get(step, {}).pop(worker, None)
+    def discard(self, step: StepKey, worker: str) -> None:
+        """Discard a ticket that a worker has refused."""
+        self._cache.get(step, {}).pop(worker, None)
 
-    def ask(
+    def request_tickets(
         self,
         is_usable: Callable[[str], bool],
         now_s: float,
         now_ms: int,
     ) -> None:
-        """Ask for the most pressing step that has no worker to start on."""
-        if self._asked is not None or now_s < self._next_s:
+        """Request tickets for the first step that no usable worker may run."""
+        if self._pending is not None or now_s < self._next_request_s:
             return
         queues = self._state.jobs.catalog.queues
         if all(queue.advice is None for queue in queues):
             return
         steps = self._list_steps(now_ms)
         if not steps:
-            self._known.clear()
+            self._cache.clear()
             return
         for step in steps:
-            named = self._choose_workers(step, is_usable, now_s)
-            if named:
-                self._send(step, named)
+            workers = self._choose_workers(step, is_usable, now_s)
+            if workers:
+                self._send_request(step, workers)
                 return
 
-    def take_answer(self, answered: AdviceAnswered, now_s: float) -> bool:
-        """Take the policy's answer; tell whether starts became possible."""
-        asked = self._asked
-        if asked is None or answered.step != asked.step:
+    def handle_answer(self, event: AdviceAnswered, now_s: float) -> bool:
+        """Store the policy's answer and return whether tickets were granted."""
+        request = self._pending
+        if request is None or event.step != request.step:
             return False
-        self._asked = None
-        granted = {one.worker: one.ticket for one in answered.tickets}
+        self._pending = None
+        granted_tickets = {one.worker: one.ticket for one in event.tickets}
         self._state.log(
             'advice.answered',
-            str(answered.step),
-            asked=len(asked.workers),
-            granted=len(granted),
-            is_answered=int(answered.is_answered),
+            str(event.step),
+            asked=len(request.workers),
+            granted=len(granted_tickets),
+            is_answered=int(event.is_answered),
         )
-        if not answered.is_answered:
-            self._next_s = now_s + _AGAIN_S
+        if not event.is_answered:
+            self._next_request_s = now_s + _RETRY_S
             return False
-        known = self._known.setdefault(answered.step, {})
-        until_s = now_s + asked.valid_s - _SPARE_S
-        for worker in asked.workers:
-            ticket = granted.get(worker.name, '')
-            known[worker.name] = _Known(ticket, worker.boot_ms, until_s)
-        return bool(granted)
+        cached = self._cache.setdefault(event.step, {})
+        expires_s = now_s + request.valid_s - _EXPIRY_MARGIN_S
+        for worker in request.workers:
+            ticket = granted_tickets.get(worker.name, '')
+            cached[worker.name] = _CachedTicket(
+                ticket, worker.boot_ms, expires_s
+            )
+        return bool(granted_tickets)
 
     def _list_steps(self, now_ms: int) -> list[StepState]:
         state = self._state
@@ -116,7 +117,7 @@
         ]
         return sorted(
             waiting,
-            key=lambda step: get_order(
+            key=lambda step: get_step_priority(
                 state.jobs.get_job(step),
                 step,
                 now_ms,
@@ -131,51 +132,52 @@
     ) -> tuple[Worker, ...]:
         jobs = self._state.jobs
         pool = jobs.get_queue(step).pool
-        wanted = step.spec
+        spec = step.spec
         fitting = [
             jobs.workers[name]
             for name in jobs.usage.free.iterate_fitting(
-                pool, wanted.reserved_size
+                pool, spec.reserved_size
             )
-            if wanted.allows_labels(jobs.workers[name].labels)
-            and is_usable(name)
+            if spec.allows_labels(jobs.workers[name].labels) and is_usable(name)
         ]
-        if any(self.find(step, worker, now_s) for worker in fitting):
+        if any(self.get_ticket(step, worker, now_s) for worker in fitting):
             return ()
         unknown = [
             worker
             for worker in fitting
-            if self._find_known(step.key, worker, now_s) is None
+            if self._find_cached(step.key, worker, now_s) is None
         ]
         unknown.sort(
             key=lambda worker: jobs.get_free(worker).millicores,
             reverse=True,
         )
-        return tuple(unknown[:_ASKED_MAX])
+        return tuple(unknown[:_REQUESTED_WORKERS_MAX])
 
-    def _send(self, step: StepState, workers: tuple[Worker, ...]) -> None:
+    def _send_request(
+        self, step: StepState, workers: tuple[Worker, ...]
+    ) -> None:
         advice = self._state.get_advice(step)
         if advice is None:
             return
         answer_s = self._state.settings.answer_s
         taken_ms = advice.decide_ms + advice.per_worker_ms * len(workers)
-        self._asked = RequestAdvice(
+        self._pending = RequestAdvice(
             step.key,
             workers,
             advice.valid_ms / _MS,
             taken_ms / _MS + answer_s,
         )
-        self._state.outputs.append(self._asked)
+        self._state.outputs.append(self._pending)
 
-    def _find_known(
+    def _find_cached(
         self,
         step: StepKey,
         worker: Worker,
         now_s: float,
-    ) -> _Known | None:
-        known = self._known.get(step, {}).get(worker.name)
-        if known is None or known.boot_ms != worker.boot_ms:
+    ) -> _CachedTicket | None:
+        cached = self._cache.get(step, {}).get(worker.name)
+        if cached is None or cached.boot_ms != worker.boot_ms:
             return None
-        # Who may run a step does not change; only tickets run out.
-        is_denied = not known.ticket
-        return known if is_denied or now_s < known.until_s else None
+        # A denial is final for a boot of a worker; only tickets expire.
+        is_denied = not cached.ticket
+        return cached if is_denied or now_s < cached.expires_s else None
--- a/src/sardinemast/dispatch/_worker_session.py
+++ b/src/sardinemast/dispatch/_worker_session.py
@@ -1,4 +1,4 @@
-"""What the leader knows of one worker by its own dealings with it."""
+"""Session of the leader with one worker."""
 
 from typing import NamedTuple
 
@@ -6,13 +6,13 @@
 from sardinemast.dispatch._settings import DispatchSettings
 from sardinemast.jobs import TaskKey, Worker
 
-# Fences of one term stay below those of the next.
-_FENCES_A_TERM = 1_000_000
+# Keeps all fences of a term below those of the next.
+_FENCES_PER_TERM = 1_000_000
 _MS = 1000
 
 
 class SentStart(NamedTuple):
-    """Hold a start that was sent, and when the worker confirmed it."""
+    """Hold a start that was sent and when the worker confirmed it."""
 
     number: int
     fence: int
@@ -20,28 +20,29 @@
 
 
 class SentStop(NamedTuple):
-    """Hold which run was told to stop, and when last."""
+    """Hold the run of the last stop that was sent for a task."""
 
     number: int
     sent_s: float
 
 
-class LookState:
-    """Hold whether a look is under way, when the next is due, and misses.
+class PollState:
+    """Hold the state of polling a worker.
 
-    With ``has_doubt`` an order may be carried out yet, so that the fence is
-    raised before the next look.
+    ``misses`` counts polls without an answer since the last one that had one.
+    ``must_raise_fence`` is set when a sent order may still be executed; the
+    next poll then uses a higher fence.
     """
 
     def __init__(self) -> None:
-        self.is_sent = False
-        self.has_doubt = False
+        self.is_pending = False
+        self.must_raise_fence = False
         self.due_s = float('-inf')
         self.misses = 0
 
 
-class Distrust:
-    """Hold how often a worker failed in a row, and how long it is avoided."""
+class FailureBackoff:
+    """Hold a worker's consecutive failures and the end of its backoff."""
 
     def __init__(self) -> None:
         self.failures = 0
@@ -49,24 +50,25 @@
 
 
 class EndCursor:
-    """Hold how far a worker's numbered ends have come.
+    """Hold the positions up to which a worker's ends are processed.
 
-    Those up to ``noted`` are known here, up to ``proposed`` on their way into
-    the log, and up to ``seen`` recorded.
+    Ends pass three stages: reported by the worker, proposed for the log, and
+    recorded in it.
     """
 
     def __init__(self) -> None:
-        self.noted = 0
+        self.reported = 0
         self.proposed = 0
-        self.seen = 0
+        self.recorded = 0
 
 
-class Contact:
-    """Hold fence, clock, lease and lists of one boot of a worker.
+class WorkerSession:
+    """Hold fence, clock, lease and reported runs of one boot of a worker.
 
-    Orders of an earlier leader, and own orders without an answer, may reach
-    the worker seconds later. The fence is raised before the next look, and
-    once that is answered, none of them can be carried out any more.
+    Orders of earlier leaders, and own orders without an answer, may reach the
+    worker late. Once it has answered a poll with a higher fence, it refuses
+    them. ``is_synced`` is set once the worker has answered a poll of this term
+    and its clock is known.
     """
 
     def __init__(
@@ -74,88 +76,92 @@
         worker: Worker,
         term: int,
         settings: DispatchSettings,
-        over_at_s: float,
+        lease_ends_s: float,
     ) -> None:
         self.worker = worker
-        self.fence = term * _FENCES_A_TERM
+        self.fence = term * _FENCES_PER_TERM
         self.is_synced = False
         self.is_leaving = False
-        self.is_resting = False
-        self.looks = LookState()
-        self.ends = EndCursor()
-        self.heard_s = float('-inf')
-        self.announced_s = float('-inf')
-        self.distrust = Distrust()
-        self.sent: dict[TaskKey, SentStart] = {}
-        self.listed: dict[TaskKey, ReportedRun] = {}
-        self.stopping: dict[TaskKey, SentStop] = {}
-        self.over_at_s = over_at_s
+        self.is_cordoned = False
+        self.poll_state = PollState()
+        self.end_cursor = EndCursor()
+        self.last_heard_s = float('-inf')
+        self.last_announced_s = float('-inf')
+        self.backoff = FailureBackoff()
+        self.sent_starts: dict[TaskKey, SentStart] = {}
+        self.reported_runs: dict[TaskKey, ReportedRun] = {}
+        self.sent_stops: dict[TaskKey, SentStop] = {}
+        self.lease_ends_s = lease_ends_s
         self._settings = settings
         self._clock_ms = 0
         self._clock_at_s: float | None = None
 
     @property
     def has_clock(self) -> bool:
-        """Tell whether the worker's clock is known."""
+        """Check whether the worker's clock is known."""
         return self._clock_at_s is not None
 
-    def note_clock(self, clock_ms: int, now_s: float) -> None:
-        """Take the worker's clock from an answer; it shows at least this."""
-        if clock_ms > 0 and clock_ms >= self._get_clock_ms(now_s, fast=False):
+    def record_clock(self, clock_ms: int, now_s: float) -> None:
+        """Record a reading of the worker's clock, unless it is outdated."""
+        if clock_ms > 0 and clock_ms >= self._get_clock_ms(
+            now_s, is_upper_bound=False
+        ):
             self._clock_ms = clock_ms
             self._clock_at_s = now_s
 
-    def grant(self, now_s: float) -> int:
-        """Give the end of a new lease on the worker's clock, and note it.
+    def extend_lease(self, now_s: float) -> int:
+        """Extend the lease and return its expiry on the worker's clock.
 
-        The worker's clock may be slow, so that in our time the lease lasts
-        longer than it says.
+        On the leader's clock, the lease may last longer than ``lease_ms``,
+        since the worker's clock may be slow.
         """
         lease_ms = self._settings.lease_ms
         since_s = now_s - (self._clock_at_s or now_s)
         longest_s = lease_ms / _MS + since_s * self._settings.drift
-        over_s = now_s + longest_s / (1 - self._settings.drift)
-        self.over_at_s = max(self.over_at_s, over_s + self._settings.margin_s)
-        return self._get_clock_ms(now_s, fast=True) + lease_ms
+        ends_s = now_s + longest_s / (1 - self._settings.drift)
+        self.lease_ends_s = max(
+            self.lease_ends_s, ends_s + self._settings.margin_s
+        )
+        return self._get_clock_ms(now_s, is_upper_bound=True) + lease_ms
 
     def restart(self, worker: Worker, now_s: float) -> None:
-        """Begin anew with a later boot at the same name.
+        """Continue with a later boot of the worker.
 
-        A start that crossed the restart may have reached the new boot, with
-        an end of lease meant for the old clock. What may run there is told
-        by a look under a higher fence, or ends with the longest lease.
+        A start sent to the previous boot may have reached the new one, with a
+        lease expiry on the old clock. A poll with a higher fence reveals such
+        runs; otherwise they end when the longest granted lease expires.
         """
         self.worker = worker
         self.is_synced = False
-        self.ends = EndCursor()
-        self.listed = {}
+        self.end_cursor = EndCursor()
+        self.reported_runs = {}
         self._clock_ms = 0
         self._clock_at_s = None
-        self.looks.has_doubt = True
-        self.looks.due_s = now_s
+        self.poll_state.must_raise_fence = True
+        self.poll_state.due_s = now_s
 
     def raise_fence(self) -> None:
-        """Make all orders sent so far void once the next look is answered."""
+        """Void all orders sent so far, once the next poll is answered."""
         self.fence += 1
-        self.looks.has_doubt = False
+        self.poll_state.must_raise_fence = False
 
     def is_usable(self, now_s: float, *, has_runs: bool) -> bool:
-        """Tell whether new runs may be started here."""
+        """Check whether new runs may be started on the worker."""
         settings = self._settings
         quiet_s = settings.quiet_s if has_runs else settings.idle_quiet_s
-        heard_s = max(self.heard_s, self.announced_s)
+        last_contact_s = max(self.last_heard_s, self.last_announced_s)
         return (
             self.is_synced
             and not self.worker.is_draining
             and not self.is_leaving
-            and not self.is_resting
-            and now_s >= self.distrust.until_s
-            and now_s < heard_s + quiet_s
+            and not self.is_cordoned
+            and now_s >= self.backoff.until_s
+            and now_s < last_contact_s + quiet_s
         )
 
-    def _get_clock_ms(self, now_s: float, *, fast: bool) -> int:
+    def _get_clock_ms(self, now_s: float, *, is_upper_bound: bool) -> int:
         if self._clock_at_s is None:
             return 0
-        rate = 1 if fast else 1 - self._settings.drift
+        rate = 1 if is_upper_bound else 1 - self._settings.drift
         since_s = now_s - self._clock_at_s
         return self._clock_ms + int(since_s * rate * _MS)
