--- a/bench/_cores.py
+++ b/bench/_cores.py
@@ -109,7 +109,7 @@
             for one in self._upstreams
         ]
         for command in commands:
-            asked = control.OperatorAsked(0, command)
+            asked = control.CommandRequested(0, command)
             self._at(1.5, self._step_control, asked)
         for number, _ in enumerate(self.cores):
             connected = control.EntryConnected(number, f'entry-{number}', 1)
@@ -169,7 +169,7 @@
                 refusal = (call, self._now_s, output.refusal.code)
                 self.refusals.append(refusal)
             elif isinstance(output, entry.SendToControl):
-                received = control.EntryReceived(number, output.message)
+                received = control.EntryMessageReceived(number, output.message)
                 at_s = self._now_s + HOP_S
                 self._at(at_s, self._step_control, received)
 
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -31,7 +31,7 @@
 )
 from sardinemast import entry
 from sardinemast.admission import Arrival
-from sardinemast.control._images import encode_state
+from sardinemast.control._snapshots import encode_snapshot
 from sardinemast.fleet import (
     AssignInstance,
     ChangeGrants,
@@ -180,7 +180,7 @@
 
 
 def _get_image_bytes(count: _Count, size: int) -> float:
-    return len(encode_state(_make_state(count, size)))
+    return len(encode_snapshot(_make_state(count, size)))
 
 
 def _make_state(count: _Count, size: int) -> FleetState:
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -137,7 +137,7 @@
         for frame in frames:
             self.cost.bytes_up += len(frame) + _ENVELOPE_BYTES
             message = ENTRY_MESSAGES.decode(frame)
-            self._feed_leader(control.EntryReceived(number, message))
+            self._feed_leader(control.EntryMessageReceived(number, message))
 
 
 def _announce(number: int) -> Announcement:
--- a/bench/retries.py
+++ b/bench/retries.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 from unittest.mock import patch
 
-from sardinemast.admission import Waiting
+from sardinemast.admission import QueuedRequest
 from sardinemast.fleet import FleetState, Instance, Pool
 from sardinemast.membership import Announcement
 from sardinemast.routing import (
@@ -64,7 +64,7 @@
 
 def _run(case: _Case) -> tuple[int, int]:
     budget = RetryBudget
-    aside = 'sardinemast.routing._health._SET_ASIDE_ABOVE'
+    aside = 'sardinemast.routing._health._EJECTION_FAILURE_RATE'
     with (
         patch.object(
             budget, 'take', budget.take if case.has_budget else _allow
@@ -104,8 +104,8 @@
         """Give how many were sent, and how many got a good answer."""
         for number in range(_REQUESTS):
             due_s = number / _PER_S + _DEADLINE_S
-            waiting = Waiting(number, 'team', _POOL, due_s, True)
-            self._put(number / _PER_S, 'try', waiting)
+            request = QueuedRequest(number, 'team', _POOL, due_s, True)
+            self._put(number / _PER_S, 'try', request)
         while self._events:
             now_s, _, kind, subject = heapq.heappop(self._events)
             if kind == 'try':
@@ -118,12 +118,12 @@
     def _put(self, at_s: float, kind: str, subject: Any) -> None:
         heapq.heappush(self._events, (at_s, next(self._order), kind, subject))
 
-    def _try(self, waiting: Waiting, now_s: float) -> None:
-        if now_s >= waiting.due_s:
+    def _try(self, request: QueuedRequest, now_s: float) -> None:
+        if now_s >= request.due_s:
             return
-        started = self._table.start(self._state, waiting, now_s)
+        started = self._table.start(self._state, request, now_s)
         if started is None:
-            self._put(now_s + 0.005, 'try', waiting)
+            self._put(now_s + 0.005, 'try', request)
             return
         self._sent += 1
         fails = (
@@ -134,7 +134,7 @@
         # answer, and so draws more requests.
         taken_s = 0.002 if fails else self._random.expovariate(1 / _SERVICE_S)
         answered = AttemptResult.failed if fails else AttemptResult.answered
-        self._put(now_s + taken_s, 'end', (waiting.request_id, answered))
+        self._put(now_s + taken_s, 'end', (request.request_id, answered))
 
     def _end(
         self,
@@ -142,7 +142,7 @@
         attempt_result: AttemptResult,
         now_s: float,
     ) -> None:
-        ending = self._table.end(request_id, attempt_result, now_s)
+        outcome = self._table.end(request_id, attempt_result, now_s)
         self._good += attempt_result is AttemptResult.answered
-        if ending.next_step is NextStep.retry:
-            self._put(now_s, 'try', ending.waiting)
+        if outcome.next_step is NextStep.retry:
+            self._put(now_s, 'try', outcome.request)
--- a/src/sardinemast/admission/__init__.py
+++ b/src/sardinemast/admission/__init__.py
@@ -1,29 +1,29 @@
 """Who may run what, and what waits: keys, leases, grants, queues."""
 
-from sardinemast.admission._dispatcher import Dispatcher
 from sardinemast.admission._gate import (
-    Admitted,
+    Admission,
     Arrival,
     check_arrival,
     refuse_without_lease,
 )
-from sardinemast.admission._queue import Waiting
 from sardinemast.admission._refusals import (
     Refusal,
     RunOutcome,
     refuse_not_run,
     refuse_unknown,
 )
-from sardinemast.admission._slots import SlotParts
+from sardinemast.admission._request_queue import QueuedRequest
+from sardinemast.admission._scheduler import RequestScheduler
+from sardinemast.admission._slot_allotments import SlotAllotments
 
 __all__ = (
-    'Admitted',
+    'Admission',
     'Arrival',
-    'Dispatcher',
+    'RequestScheduler',
     'Refusal',
     'RunOutcome',
-    'SlotParts',
-    'Waiting',
+    'SlotAllotments',
+    'QueuedRequest',
     'check_arrival',
     'refuse_not_run',
     'refuse_unknown',
--- a/src/sardinemast/admission/_fair_order.py
+++ b/src/sardinemast/admission/_fair_order.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from sardinemast.admission._queue import Line
+from sardinemast.admission._request_queue import Line
 from sardinemast.admission._usage import TeamUsage
 from sardinemast.protocol import PoolAllotment
 
@@ -31,7 +31,7 @@
         self._accounts: dict[Line, _Account] = {}
         self._served_s: dict[str, float] = {}
 
-    def replace_parts(self, pools: Iterable[PoolAllotment]) -> None:
+    def replace_allotments(self, pools: Iterable[PoolAllotment]) -> None:
         """Take the fair parts that the leader computed."""
         self._parts = {
             (pool.pool, part.team): part.slots
--- a/src/sardinemast/admission/_gate.py
+++ b/src/sardinemast/admission/_gate.py
@@ -28,7 +28,7 @@
     is_urgent: bool = False
 
 
-class Admitted(NamedTuple):
+class Admission(NamedTuple):
     """Hold the team that a request runs for and when it is due."""
 
     team: str
@@ -40,7 +40,7 @@
     site: str,
     arrival: Arrival,
     now_s: float,
-) -> Admitted | Refusal:
+) -> Admission | Refusal:
     """Find the team and the deadline, or say what is wrong."""
     if not arrival.key_digest:
         return refuse_not_run(
@@ -77,7 +77,7 @@
             HTTPStatus.GATEWAY_TIMEOUT,
             'The deadline has passed. Send one that lies ahead.',
         )
-    return Admitted(team, now_s + left_s)
+    return Admission(team, now_s + left_s)
 
 
 def refuse_without_lease() -> Refusal:
--- a/src/sardinemast/admission/_queue.py
+++ b/src/sardinemast/admission/_request_queue.py
@@ -12,7 +12,7 @@
 Line = tuple[str, str]
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """Hold a request that has not left yet.
 
     Once ``start_by_s`` has passed it would hardly end before its deadline.
@@ -38,7 +38,7 @@
     request_id: int
 
 
-class WaitingQueue:
+class RequestQueue:
     """Hold a line for each pool and team: urgent first, then by deadline.
 
     A line is a sorted list: its bound keeps it short, its order tells at once
@@ -46,34 +46,34 @@
     """
 
     def __init__(self) -> None:
-        self._waiting: dict[int, Waiting] = {}
+        self._waiting: dict[int, QueuedRequest] = {}
         self._lines: dict[Line, list[_Ranked]] = {}
         self._due: list[tuple[float, int]] = []
         self._team_counts: Counter[str] = Counter()
 
-    def add(self, waiting: Waiting) -> bool:
+    def add(self, request: QueuedRequest) -> bool:
         """Add a request, or tell that the team's queue is full."""
-        if self._team_counts[waiting.team] >= MAX_WAITING_PER_TEAM:
+        if self._team_counts[request.team] >= MAX_WAITING_PER_TEAM:
             return False
-        self._waiting[waiting.request_id] = waiting
-        insort(self._lines.setdefault(waiting.line, []), _rank(waiting))
-        start_by_s = _get_last_start_s(waiting)
-        heapq.heappush(self._due, (start_by_s, waiting.request_id))
-        self._team_counts[waiting.team] += 1
+        self._waiting[request.request_id] = request
+        insort(self._lines.setdefault(request.line, []), _rank(request))
+        start_by_s = _get_last_start_s(request)
+        heapq.heappush(self._due, (start_by_s, request.request_id))
+        self._team_counts[request.team] += 1
         return True
 
-    def remove(self, request_id: int) -> Waiting | None:
+    def remove(self, request_id: int) -> QueuedRequest | None:
         """Take a request out, where it still waits."""
-        waiting = self._waiting.pop(request_id, None)
-        if waiting is None:
+        request = self._waiting.pop(request_id, None)
+        if request is None:
             return None
-        ranks = self._lines[waiting.line]
-        del ranks[bisect_left(ranks, _rank(waiting))]
+        ranks = self._lines[request.line]
+        del ranks[bisect_left(ranks, _rank(request))]
         if not ranks:
-            del self._lines[waiting.line]
-        self._team_counts[waiting.team] -= 1
+            del self._lines[request.line]
+        self._team_counts[request.team] -= 1
         self._compact()
-        return waiting
+        return request
 
     def count(self, team: str) -> int:
         """Count what waits for a team."""
@@ -83,29 +83,29 @@
         """Count what waits in a line."""
         return len(self._lines.get(line, ()))
 
-    def count_ahead(self, waiting: Waiting) -> int:
+    def count_ahead(self, request: QueuedRequest) -> int:
         """Count what stands, or would stand, ahead of a request."""
-        return bisect_left(self._lines.get(waiting.line, []), _rank(waiting))
+        return bisect_left(self._lines.get(request.line, []), _rank(request))
 
     def get_lines(self) -> list[Line]:
         """Give the lines that hold something."""
         return list(self._lines)
 
-    def get_first(self, line: Line) -> Waiting | None:
+    def get_first(self, line: Line) -> QueuedRequest | None:
         """Give the request at the front of a line."""
         ranks = self._lines.get(line)
         return self._waiting[ranks[0].request_id] if ranks else None
 
-    def take_due(self, until_s: float) -> Iterator[Waiting]:
+    def take_due(self, until_s: float) -> Iterator[QueuedRequest]:
         """Take out the requests that are too late to start at a moment."""
         while self._due and self._due[0][0] <= until_s:
             noted_s, request_id = heapq.heappop(self._due)
-            waiting = self._waiting.get(request_id)
+            request = self._waiting.get(request_id)
             # A request that came back for a second attempt has a later moment
             # of its own; by the first one it would be refused too soon.
-            if waiting is not None and _get_last_start_s(waiting) <= noted_s:
+            if request is not None and _get_last_start_s(request) <= noted_s:
                 self.remove(request_id)
-                yield waiting
+                yield request
 
     def _compact(self) -> None:
         # A removed request stays in the heap of deadlines until that moment,
@@ -115,9 +115,9 @@
             heapq.heapify(self._due)
 
 
-def _rank(waiting: Waiting) -> _Ranked:
-    return _Ranked(not waiting.is_urgent, waiting.due_s, waiting.request_id)
+def _rank(request: QueuedRequest) -> _Ranked:
+    return _Ranked(not request.is_urgent, request.due_s, request.request_id)
 
 
-def _get_last_start_s(waiting: Waiting) -> float:
-    return min(waiting.start_by_s, waiting.due_s)
+def _get_last_start_s(request: QueuedRequest) -> float:
+    return min(request.start_by_s, request.due_s)
--- a/src/sardinemast/admission/_dispatcher.py
+++ b/src/sardinemast/admission/_scheduler.py
@@ -6,9 +6,13 @@
 from http import HTTPStatus
 
 from sardinemast.admission._fair_order import FairOrder
-from sardinemast.admission._gate import Admitted, Arrival
-from sardinemast.admission._queue import Line, Waiting, WaitingQueue
+from sardinemast.admission._gate import Admission, Arrival
 from sardinemast.admission._refusals import Refusal, refuse_not_run
+from sardinemast.admission._request_queue import (
+    Line,
+    QueuedRequest,
+    RequestQueue,
+)
 from sardinemast.admission._service_times import ServiceTimes
 from sardinemast.admission._usage import TeamUsage
 from sardinemast.protocol import PoolAllotment, TeamDemand, TeamUse
@@ -20,24 +24,24 @@
 _URGENT_LEAD_S = 2.0
 
 
-class Dispatcher:
+class RequestScheduler:
     """Decide which waiting request may start next."""
 
     def __init__(self) -> None:
-        self._queue = WaitingQueue()
+        self._queue = RequestQueue()
         self._usage = TeamUsage()
         self._order = FairOrder(self._usage)
         self._times = ServiceTimes()
-        self._delayed: dict[int, tuple[float, Waiting]] = {}
+        self._delayed: dict[int, tuple[float, QueuedRequest]] = {}
 
-    def take(
+    def enqueue(
         self,
         arrival: Arrival,
-        admitted: Admitted,
+        admitted: Admission,
         now_s: float,
     ) -> Refusal | None:
         """Queue an admitted request, or refuse it at once."""
-        waiting = Waiting(
+        request = QueuedRequest(
             arrival.request_id,
             admitted.team,
             arrival.pool,
@@ -46,10 +50,10 @@
             arrival.is_urgent,
             self._get_start_by_s(arrival.pool, admitted.due_s, now_s),
         )
-        late_s = self._estimate_lateness_s(waiting, now_s)
+        late_s = self._estimate_lateness_s(request, now_s)
         if late_s > 0:
             return _describe_hopeless(late_s)
-        if self._add(waiting, now_s):
+        if self._add(request, now_s):
             return None
         return refuse_not_run(
             'admission.E007',
@@ -58,9 +62,9 @@
             _COME_BACK_S,
         )
 
-    def take_again(
+    def requeue(
         self,
-        waiting: Waiting,
+        request: QueuedRequest,
         now_s: float,
         held_until_s: float | None = None,
         not_before_s: float = _NOW_S,
@@ -68,24 +72,24 @@
         """Queue a request once more; what it left running keeps a place."""
         if held_until_s is not None:
             self._usage.leave_held(
-                waiting.request_id,
+                request.request_id,
                 held_until_s,
                 now_s,
             )
-        self._usage.end(waiting.request_id, now_s)
+        self._usage.end(request.request_id, now_s)
         # The first attempt took the time that was left for it; what is left
         # now is for the second one.
-        start_by_s = self._get_start_by_s(waiting.pool, waiting.due_s, now_s)
-        waiting = waiting._replace(start_by_s=start_by_s)
-        if now_s < not_before_s < waiting.due_s:
+        start_by_s = self._get_start_by_s(request.pool, request.due_s, now_s)
+        request = request._replace(start_by_s=start_by_s)
+        if now_s < not_before_s < request.due_s:
             # In the queue it would stand in the way of its whole line.
-            self._delayed[waiting.request_id] = (not_before_s, waiting)
+            self._delayed[request.request_id] = (not_before_s, request)
             return None
-        if now_s < waiting.due_s and self._add(waiting, now_s):
+        if now_s < request.due_s and self._add(request, now_s):
             return None
         return _describe_late()
 
-    def drop(self, request_id: int) -> None:
+    def cancel(self, request_id: int) -> None:
         """Forget a request that waits and whose caller has left."""
         self._queue.remove(request_id)
         self._delayed.pop(request_id, None)
@@ -95,7 +99,7 @@
         get_usable: Callable[[str], int],
         get_slots: Callable[[str], int],
         now_s: float,
-    ) -> Iterator[Waiting]:
+    ) -> Iterator[QueuedRequest]:
         """Give what may start by grants and slots, by the teams' shares.
 
         The caller starts a request, or leaves it, before asking for the next;
@@ -112,46 +116,46 @@
             free_slots = get_slots(pool) - self._usage.count_pool(pool)
             yield from self._get_ready_of(lines, free_slots, get_usable, now_s)
 
-    def start(self, waiting: Waiting, now_s: float) -> None:
+    def start(self, request: QueuedRequest, now_s: float) -> None:
         """Count a request as running."""
-        self._queue.remove(waiting.request_id)
-        self._usage.start(waiting, now_s)
-        self._order.note_start(waiting.line)
+        self._queue.remove(request.request_id)
+        self._usage.start(request, now_s)
+        self._order.note_start(request.line)
 
     def end(
         self,
-        waiting: Waiting,
+        request: QueuedRequest,
         held_until_s: float | None,
         now_s: float,
     ) -> None:
         """Free the place of a request, or hold it while it may still run."""
         if held_until_s is not None:
-            known = self._times.get(waiting.pool, now_s)
+            known = self._times.get(request.pool, now_s)
             slot_until_s = now_s + known.slow_s if known else held_until_s
-            self._usage.hold(waiting.request_id, held_until_s, slot_until_s)
+            self._usage.hold(request.request_id, held_until_s, slot_until_s)
             return
-        service_s = self._usage.end(waiting.request_id, now_s)
+        service_s = self._usage.end(request.request_id, now_s)
         if service_s is not None:
-            self._times.note(waiting.pool, service_s, now_s)
+            self._times.note(request.pool, service_s, now_s)
 
     def expire(self, now_s: float) -> Iterator[tuple[int, Refusal]]:
         """Give the requests whose deadline has passed, and forget them."""
         self._usage.release_held(now_s)
-        for waiting in self._take_delayed(now_s):
-            if not self._add(waiting, now_s):
-                yield waiting.request_id, _describe_late()
-        for waiting in self._queue.take_due(now_s):
-            yield waiting.request_id, _describe_late()
+        for request in self._take_delayed(now_s):
+            if not self._add(request, now_s):
+                yield request.request_id, _describe_late()
+        for request in self._queue.take_due(now_s):
+            yield request.request_id, _describe_late()
 
-    def replace_parts(self, pools: tuple[PoolAllotment, ...]) -> None:
+    def replace_allotments(self, pools: tuple[PoolAllotment, ...]) -> None:
         """Take the teams' fair parts that the leader computed."""
-        self._order.replace_parts(pools)
+        self._order.replace_allotments(pools)
 
     def count_running(self, team: str) -> int:
         """Count what runs, or may still run, for a team."""
         return self._usage.count(team)
 
-    def count_wanted(self, get_slots: Callable[[str], int]) -> Counter[str]:
+    def count_demand(self, get_slots: Callable[[str], int]) -> Counter[str]:
         """Count by team what runs and what could run in this entry's slots.
 
         What waits beyond the slots is left out: grants for it would be taken
@@ -175,10 +179,10 @@
         """Tell how much each team wants to run here."""
         return tuple(
             TeamDemand(team, wanted, self._usage.count(team))
-            for team, wanted in sorted(self.count_wanted(get_slots).items())
+            for team, wanted in sorted(self.count_demand(get_slots).items())
         )
 
-    def get_uses(self, now_s: float) -> dict[str, tuple[TeamUse, ...]]:
+    def get_usage(self, now_s: float) -> dict[str, tuple[TeamUse, ...]]:
         """Tell by pool what each team waits for, runs and has used."""
         uses: dict[str, tuple[TeamUse, ...]] = {}
         lines = {*self._queue.get_lines(), *self._usage.get_lines()}
@@ -192,20 +196,20 @@
             uses[pool] = (*uses.get(pool, ()), use)
         return uses
 
-    def _take_delayed(self, now_s: float) -> list[Waiting]:
+    def _take_delayed(self, now_s: float) -> list[QueuedRequest]:
         due = [
-            waiting
-            for not_before_s, waiting in self._delayed.values()
+            request
+            for not_before_s, request in self._delayed.values()
             if not_before_s <= now_s
         ]
-        for waiting in due:
-            self._delayed.pop(waiting.request_id)
+        for request in due:
+            self._delayed.pop(request.request_id)
         return due
 
-    def _add(self, waiting: Waiting, now_s: float) -> bool:
-        if not self._queue.count_line(waiting.line):
-            self._order.activate(waiting.line, now_s)
-        return self._queue.add(waiting)
+    def _add(self, request: QueuedRequest, now_s: float) -> bool:
+        if not self._queue.count_line(request.line):
+            self._order.activate(request.line, now_s)
+        return self._queue.add(request)
 
     def _get_ready_of(
         self,
@@ -213,17 +217,17 @@
         free_slots: int,
         get_usable: Callable[[str], int],
         now_s: float,
-    ) -> Iterator[Waiting]:
+    ) -> Iterator[QueuedRequest]:
         while lines and free_slots > 0:
             line = self._choose(lines, now_s)
-            waiting = self._queue.get_first(line)
-            if waiting is None or (
-                self._usage.count(waiting.team) >= get_usable(waiting.team)
+            request = self._queue.get_first(line)
+            if request is None or (
+                self._usage.count(request.team) >= get_usable(request.team)
             ):
                 lines.remove(line)
                 continue
-            yield waiting
-            if self._queue.get_first(line) == waiting:
+            yield request
+            if self._queue.get_first(line) == request:
                 return
             free_slots -= 1
 
@@ -243,17 +247,19 @@
         is_urgent = first is not None and first.is_urgent
         return rank_s - _URGENT_LEAD_S if is_urgent else rank_s
 
-    def _estimate_lateness_s(self, waiting: Waiting, now_s: float) -> float:
-        known = self._times.get(waiting.pool, now_s)
+    def _estimate_lateness_s(
+        self, request: QueuedRequest, now_s: float
+    ) -> float:
+        known = self._times.get(request.pool, now_s)
         if known is None:
             return 0
-        ahead = self._queue.count_ahead(waiting)
+        ahead = self._queue.count_ahead(request)
         parallel = max(
-            self._usage.count_line(waiting.line),
-            self._order.get_part(waiting.line),
+            self._usage.count_line(request.line),
+            self._order.get_part(request.line),
         )
         wait_s = ahead * known.mean_s / parallel
-        return now_s + wait_s - waiting.start_by_s
+        return now_s + wait_s - request.start_by_s
 
     def _get_start_by_s(self, pool: str, due_s: float, now_s: float) -> float:
         # A request that starts too late times out, and its place is held for
--- a/src/sardinemast/admission/_slots.py
+++ b/src/sardinemast/admission/_slot_allotments.py
@@ -8,7 +8,7 @@
 from sardinemast.protocol import PoolAllotment
 
 
-class SlotParts:
+class SlotAllotments:
     """Count a pool's slots, and hold the part that the leader allotted.
 
     The allotment lives in the leader's memory and not in the log: to exceed
@@ -28,7 +28,7 @@
         self._announcements = announcements
         self._counted_at = None
 
-    def replace_parts(self, pools: Iterable[PoolAllotment]) -> None:
+    def replace_allotments(self, pools: Iterable[PoolAllotment]) -> None:
         """Take this entry's parts."""
         self._parts = {one.pool: one.slots for one in pools}
 
--- a/src/sardinemast/admission/_usage.py
+++ b/src/sardinemast/admission/_usage.py
@@ -5,7 +5,7 @@
 from itertools import count
 from typing import NamedTuple
 
-from sardinemast.admission._queue import Line, Waiting
+from sardinemast.admission._request_queue import Line, QueuedRequest
 
 
 class _Run(NamedTuple):
@@ -37,13 +37,13 @@
         self._used_s: dict[Line, float] = {}
         self._counted_s: dict[Line, float] = {}
 
-    def start(self, waiting: Waiting, now_s: float) -> None:
+    def start(self, request: QueuedRequest, now_s: float) -> None:
         """Count a request as running."""
-        self._note_use(waiting.line, now_s)
-        self._running[waiting.request_id] = _Run(waiting.line, now_s)
-        self._team_counts[waiting.team] += 1
-        self._slots.add(waiting.request_id)
-        self._count(waiting.line, 1)
+        self._note_use(request.line, now_s)
+        self._running[request.request_id] = _Run(request.line, now_s)
+        self._team_counts[request.team] += 1
+        self._slots.add(request.request_id)
+        self._count(request.line, 1)
 
     def end(self, request_id: int, now_s: float) -> float | None:
         """Free the place of a request whose end is known, and give its time."""
--- a/src/sardinemast/control/_call_desk.py
+++ b/src/sardinemast/control/_call_handler.py
@@ -43,7 +43,7 @@
     call_id: int
 
 
-class CallDesk:
+class CallHandler:
     """Answer calls, those that change something once the log has them."""
 
     def __init__(
--- a/src/sardinemast/control/_core.py
+++ b/src/sardinemast/control/_core.py
@@ -7,31 +7,31 @@
 from sardinemast import consensus, dispatch
 from sardinemast.control._apply_queue import ApplyQueue
 from sardinemast.control._context import INTERNAL_REQUEST, ControlContext
-from sardinemast.control._entry_desk import EntryDesk
+from sardinemast.control._entry_handler import EntryHandler
 from sardinemast.control._events import (
     AnswerOperator,
     AnswerRepair,
     ApplyDue,
-    ContinueApplying,
+    CommandRequested,
+    CommandsRequested,
     ControlEvent,
     ControlOutput,
     EntryConnected,
     EntryDisconnected,
-    EntryReceived,
+    EntryMessageReceived,
     JobEvent,
     OperatorAnswer,
-    OperatorAsked,
-    OperatorsAsked,
-    PeerReceived,
-    RepairAsked,
+    PeerMessageReceived,
+    RepairRequested,
+    ScheduleApply,
     Tick,
 )
-from sardinemast.control._grant_desk import GrantDesk
-from sardinemast.control._images import encode_state, replace_state
-from sardinemast.control._job_desk import JobDesk, Leading
-from sardinemast.control._operators import PendingCommands
+from sardinemast.control._grant_planner import GrantPlanner
+from sardinemast.control._job_controller import JobController, ReplicaAccess
+from sardinemast.control._pending_commands import PendingCommands
 from sardinemast.control._sessions import LEASE_S, EntrySessions
-from sardinemast.control._slot_desk import SlotDesk
+from sardinemast.control._slot_allocator import SlotAllocator
+from sardinemast.control._snapshots import encode_snapshot, restore_snapshot
 from sardinemast.fleet import (
     COMMANDS,
     AdvanceTime,
@@ -90,7 +90,7 @@
             snapshot=snapshot,
         )
         if snapshot is not None:
-            replace_state(self.state, snapshot.image)
+            restore_snapshot(self.state, snapshot.image)
         self._snapshot_entries = settings.snapshot_entries
         self._collected: list[consensus.CommandProposed] | None = None
         self._outputs: list[ControlOutput] = []
@@ -101,14 +101,14 @@
             settings.lease_s,
         )
         self._sessions = EntrySessions(settings.lease_s)
-        self._entry_desk = EntryDesk(self._context, self._sessions)
-        self._grant_desk = GrantDesk(self._context, self._sessions)
-        self._slot_desk = SlotDesk(self._context, self._sessions)
+        self._entry_handler = EntryHandler(self._context, self._sessions)
+        self._grant_planner = GrantPlanner(self._context, self._sessions)
+        self._slot_allocator = SlotAllocator(self._context, self._sessions)
         self._pending = PendingCommands()
-        self._job_desk = JobDesk(
+        self._job_controller = JobController(
             self._context,
             settings.dispatching,
-            Leading(self.replica, self.is_leader, self._step_replica),
+            ReplicaAccess(self.replica, self.is_leader, self._step_replica),
         )
         self._is_ready = False
         self._applying = ApplyQueue(self._apply)
@@ -125,11 +125,11 @@
         self._applying.begin_step(now_s)
         self._handle_event(event, now_s)
         self._sessions.note_log(self.state.log_index, now_s)
-        self._entry_desk.streams.send_fresh(now_s)
+        self._entry_handler.streams.send_fresh(now_s)
         self._answer_operators(now_s)
         self._take_snapshot(now_s)
         if self._applying.must_continue():
-            self._outputs.append(ContinueApplying())
+            self._outputs.append(ScheduleApply())
         return list(self._outputs)
 
     @singledispatchmethod
@@ -139,12 +139,12 @@
     @_handle.register
     def _handle_tick(self, event: Tick, now_s: float) -> None:
         self._step_replica(consensus.Tick(), now_s)
-        self._job_desk.tick(now_s, event.wall_ms)
+        self._job_controller.tick(now_s, event.wall_ms)
         if self.is_leader(now_s):
-            self._entry_desk.rosters.check(now_s)
-            self._entry_desk.retire_ended(now_s)
-            self._grant_desk.tick(now_s)
-            self._slot_desk.tick(now_s)
+            self._entry_handler.rosters.check(now_s)
+            self._entry_handler.retire_ended(now_s)
+            self._grant_planner.tick(now_s)
+            self._slot_allocator.tick(now_s)
 
     @_handle.register
     def _handle_apply(self, event: ApplyDue, now_s: float) -> None:
@@ -152,21 +152,21 @@
 
     @_handle.register
     def _handle_job_event(self, event: JobEvent, now_s: float) -> None:
-        self._job_desk.handle(event, now_s)
+        self._job_controller.handle(event, now_s)
 
     @_handle.register
-    def _handle_peer(self, event: PeerReceived, now_s: float) -> None:
+    def _handle_peer(self, event: PeerMessageReceived, now_s: float) -> None:
         received = consensus.MessageReceived(*event)
         self._step_replica(received, now_s)
 
     @_handle.register
-    def _handle_operator(self, event: OperatorAsked, now_s: float) -> None:
+    def _handle_operator(self, event: CommandRequested, now_s: float) -> None:
         if event.wall_s >= self.state.wall_s + _TIME_STEP_S:
             self._propose(AdvanceTime(event.wall_s), INTERNAL_REQUEST, now_s)
         self._propose(event.command, event.request_id, now_s)
 
     @_handle.register
-    def _handle_operators(self, event: OperatorsAsked, now_s: float) -> None:
+    def _handle_operators(self, event: CommandsRequested, now_s: float) -> None:
         self._collected = []
         for asked in event.asked:
             self._handle_operator(asked, now_s)
@@ -175,7 +175,7 @@
         self._step_replica(proposals, now_s)
 
     @_handle.register
-    def _handle_repair(self, event: RepairAsked, now_s: float) -> None:
+    def _handle_repair(self, event: RepairRequested, now_s: float) -> None:
         asked = consensus.RepairRequested(INTERNAL_REQUEST, event.name)
         outputs = self.replica.step(asked, now_s)
         is_accepted = any(
@@ -190,7 +190,7 @@
     @_handle.register
     def _handle_connected(self, event: EntryConnected, now_s: float) -> None:
         if self.is_leader(now_s):
-            self._entry_desk.connect(event, now_s)
+            self._entry_handler.connect(event, now_s)
         else:
             elsewhere = NotLeader(self.replica.leader)
             self._context.send(event.stream_id, elsewhere)
@@ -202,28 +202,28 @@
         now_s: float,
     ) -> None:
         self._sessions.close(event.stream_id)
-        self._entry_desk.streams.forget_closed()
+        self._entry_handler.streams.forget_closed()
 
     @_handle.register
-    def _handle_entry(self, event: EntryReceived, now_s: float) -> None:
+    def _handle_entry(self, event: EntryMessageReceived, now_s: float) -> None:
         session = self._sessions.sessions.get(event.stream_id)
         if session is None or not self.is_leader(now_s):
             self._sessions.close(event.stream_id)
             elsewhere = NotLeader(self.replica.leader)
             self._context.send(event.stream_id, elsewhere)
         elif isinstance(event.message, ReportUpstreams):
-            self._entry_desk.rosters.take_report(event.message, now_s)
+            self._entry_handler.rosters.take_report(event.message, now_s)
         elif isinstance(event.message, HeardUpstreams):
-            self._entry_desk.rosters.take_digest(event.message, now_s)
-        elif self._grant_desk.is_releasing(session):
+            self._entry_handler.rosters.take_digest(event.message, now_s)
+        elif self._grant_planner.is_releasing(session):
             return
         elif isinstance(event.message, RenewLease):
-            if self._entry_desk.renew(session, event.message, now_s):
-                self._grant_desk.take_wish(session, event.message, now_s)
+            if self._entry_handler.renew(session, event.message, now_s):
+                self._grant_planner.take_wish(session, event.message, now_s)
         elif isinstance(event.message, ReportPools):
-            self._slot_desk.take_report(session, event.message)
+            self._slot_allocator.take_report(session, event.message)
         elif isinstance(event.message, ReportDemand):
-            self._grant_desk.take_wish(session, event.message, now_s)
+            self._grant_planner.take_wish(session, event.message, now_s)
 
     def _propose(self, command: Command, request_id: int, now_s: float) -> None:
         proposal = consensus.CommandProposed(
@@ -239,7 +239,7 @@
         index = self.state.log_index
         covered = self.replica.log.snapshot.last_index
         if index >= covered + self._snapshot_entries:
-            image = encode_state(self.state)
+            image = encode_snapshot(self.state)
             self._step_replica(consensus.SnapshotTaken(index, image), now_s)
 
     def _step_replica(self, event: consensus.Event, now_s: float) -> None:
@@ -252,8 +252,8 @@
         elif isinstance(output, consensus.RestoreSnapshot):
             # All that was committed before stands in the snapshot.
             self._applying.clear()
-            replace_state(self.state, output.snapshot.image)
-            self._job_desk.note_restored(now_s)
+            restore_snapshot(self.state, output.snapshot.image)
+            self._job_controller.note_restored(now_s)
         elif isinstance(output, consensus.ProposalAccepted):
             self._pending.note_proposal(output)
         elif isinstance(output, consensus.ProposalRejected):
@@ -274,8 +274,8 @@
             was_ready = self._is_ready
             self._is_ready = self.replica.role is consensus.Role.leader
             if self._is_ready and not was_ready:
-                self._job_desk.start_term(now_s)
-        self._entry_desk.streams.note_applied(applied)
+                self._job_controller.start_term(now_s)
+        self._entry_handler.streams.note_applied(applied)
 
     def _apply_command(
         self,
@@ -286,10 +286,10 @@
         is_known = is_known_command(self.state, command)
         outcome = apply_command(self.state, command, entry.log_index)
         self._pending.note_applied(entry, outcome, now_s)
-        self._grant_desk.note_applied(command, self.state)
+        self._grant_planner.note_applied(command, self.state)
         if isinstance(command, RetireEntry):
-            self._entry_desk.note_retired(command)
-        self._job_desk.note_applied(command, now_s)
+            self._entry_handler.note_retired(command)
+        self._job_controller.note_applied(command, now_s)
         # A resend and a refusal change nothing. An entry does not remember
         # commands, and would carry out the resend once more.
         if is_known or not outcome.is_accepted:
@@ -302,16 +302,16 @@
         now_s: float,
     ) -> None:
         self._is_ready = False
-        self._grant_desk.start_term(now_s)
-        self._slot_desk.start_term()
+        self._grant_planner.start_term(now_s)
+        self._slot_allocator.start_term()
         if changed.role is consensus.Role.leader:
-            self._entry_desk.start_term(changed.term, now_s)
+            self._entry_handler.start_term(changed.term, now_s)
             return
-        self._job_desk.end_term()
+        self._job_controller.end_term()
         self._outputs.extend(
             self._pending.give_up(self.state, self._sessions, now_s),
         )
-        self._entry_desk.end_term(self.replica.leader)
+        self._entry_handler.end_term(self.replica.leader)
 
     def _answer_elsewhere(self, request_id: int) -> None:
         if request_id != INTERNAL_REQUEST:
--- a/src/sardinemast/control/_entry_desk.py
+++ b/src/sardinemast/control/_entry_handler.py
@@ -2,8 +2,8 @@
 
 from sardinemast.control._context import INTERNAL_REQUEST, ControlContext
 from sardinemast.control._events import EntryConnected
-from sardinemast.control._proposal_times import ProposalTimes
-from sardinemast.control._roster_desk import RosterDesk
+from sardinemast.control._proposal_throttle import ProposalThrottle
+from sardinemast.control._roster_publisher import RosterPublisher
 from sardinemast.control._sessions import EntrySessions, Session
 from sardinemast.control._state_streams import StateStreams
 from sardinemast.fleet import RegisterEntry, RetireEntry
@@ -15,7 +15,7 @@
 )
 
 
-class EntryDesk:
+class EntryHandler:
     """Serve entries while this process leads."""
 
     def __init__(
@@ -23,10 +23,10 @@
     ) -> None:
         self._context = context
         self._sessions = sessions
-        self._registering = ProposalTimes()
-        self._retiring = ProposalTimes()
+        self._registering = ProposalThrottle()
+        self._retiring = ProposalThrottle()
         self.streams = StateStreams(context, sessions)
-        self.rosters = RosterDesk(context, sessions)
+        self.rosters = RosterPublisher(context, sessions)
 
     def start_term(self, term: int, now_s: float) -> None:
         """Forget what was known and under way in a former term."""
--- a/src/sardinemast/control/_events.py
+++ b/src/sardinemast/control/_events.py
@@ -20,7 +20,7 @@
     wall_ms: int = 0
 
 
-class PeerReceived(NamedTuple):
+class PeerMessageReceived(NamedTuple):
     """Hand over a message of another control process."""
 
     sender: str
@@ -38,7 +38,7 @@
     port: int = 0
 
 
-class EntryReceived(NamedTuple):
+class EntryMessageReceived(NamedTuple):
     """Hand over a message of an entry."""
 
     stream_id: int
@@ -51,7 +51,7 @@
     stream_id: int
 
 
-class OperatorAsked(NamedTuple):
+class CommandRequested(NamedTuple):
     """Hand over an operator's command, and the wall time for the log."""
 
     request_id: int
@@ -59,13 +59,13 @@
     wall_s: float = 0
 
 
-class OperatorsAsked(NamedTuple):
+class CommandsRequested(NamedTuple):
     """Hand over commands to be written and synced together."""
 
-    asked: tuple[OperatorAsked, ...]
+    asked: tuple[CommandRequested, ...]
 
 
-class RepairAsked(NamedTuple):
+class RepairRequested(NamedTuple):
     """Hand over an operator's wish to replace a replica's folder."""
 
     request_id: int
@@ -138,11 +138,11 @@
     message: ControlMessage
 
 
-class GatherProposals(NamedTuple):
+class ScheduleProposals(NamedTuple):
     """Hand over ``ProposalsDue`` a moment later."""
 
 
-class ContinueApplying(NamedTuple):
+class ScheduleApply(NamedTuple):
     """Hand over ``ApplyDue`` once sockets had their turn."""
 
 
@@ -182,13 +182,13 @@
 )
 ControlEvent = (
     Tick
-    | PeerReceived
+    | PeerMessageReceived
     | EntryConnected
-    | EntryReceived
+    | EntryMessageReceived
     | EntryDisconnected
-    | OperatorAsked
-    | OperatorsAsked
-    | RepairAsked
+    | CommandRequested
+    | CommandsRequested
+    | RepairRequested
     | ApplyDue
     | JobEvent
 )
@@ -200,7 +200,7 @@
     | AnswerCall
     | SendToCaller
     | SendOrder
-    | GatherProposals
-    | ContinueApplying
+    | ScheduleProposals
+    | ScheduleApply
     | dispatch.LogDecision
 )
--- a/src/sardinemast/control/_grant_desk.py
+++ b/src/sardinemast/control/_grant_planner.py
@@ -30,7 +30,7 @@
 _RELEASE_INTERVAL_S = 0.25
 
 
-class GrantDesk:
+class GrantPlanner:
     """Plan changes of grants, each holder's at most one at a time."""
 
     def __init__(
--- a/src/sardinemast/control/_job_desk.py
+++ b/src/sardinemast/control/_job_controller.py
@@ -10,15 +10,15 @@
     Event,
     Replica,
 )
-from sardinemast.control._call_desk import CallDesk, Caller
+from sardinemast.control._call_handler import Caller, CallHandler
 from sardinemast.control._context import INTERNAL_REQUEST, ControlContext
 from sardinemast.control._events import (
     CallerConnected,
     CallerDisconnected,
     CallReceived,
-    GatherProposals,
     JobEvent,
     ProposalsDue,
+    ScheduleProposals,
     SendOrder,
     SendToCaller,
 )
@@ -50,7 +50,7 @@
 _BEAT_S = 0.2
 
 
-class Leading(NamedTuple):
+class ReplicaAccess(NamedTuple):
     """Reach the replica of this process, and whether it may act."""
 
     replica: Replica
@@ -58,20 +58,20 @@
     step_replica: Callable[[Event, float], None]
 
 
-class JobDesk:
+class JobController:
     """Serve callers' streams, and carry out what the dispatcher decides."""
 
     def __init__(
         self,
         context: ControlContext,
         settings: DispatchSettings,
-        leading: Leading,
+        leading: ReplicaAccess,
     ) -> None:
         self._context = context._replace(propose=self._gather)
         self._leading = leading
         self._clock = WallClock()
         self._dispatcher = Dispatcher(settings)
-        self._calls = CallDesk(
+        self._calls = CallHandler(
             self._context,
             self._dispatcher.record_announcement,
             self._dispatcher.record_leaving,
@@ -201,7 +201,7 @@
     def _note_unsent(self, order: DispatchOutput, now_s: float) -> None:
         # Without a lease another process may lead already. What it decided
         # must not be crossed by an order that was due here before.
-        unsent = make_unsent(order)
+        unsent = make_not_sent_event(order)
         if unsent is not None:
             self._handle(unsent, now_s)
 
@@ -209,7 +209,7 @@
         # Calls and ends of runs come one by one, each in an event of its own.
         # What comes within a moment is written and synced together.
         if not self._gathered:
-            self._context.outputs.append(GatherProposals())
+            self._context.outputs.append(ScheduleProposals())
         payload = COMMANDS.encode(command)
         self._gathered.append(CommandProposed(request_id, payload))
 
@@ -224,7 +224,7 @@
         self._context.outputs.append(SendToCaller(stream_id, elsewhere))
 
 
-def make_unsent(order: DispatchOutput) -> DispatchEvent | None:
+def make_not_sent_event(order: DispatchOutput) -> DispatchEvent | None:
     """Give the event that an order was not sent, where one is awaited."""
     if isinstance(order, PollWorker):
         return WorkerPolled(
--- a/src/sardinemast/control/_proposal_times.py
+++ b/src/sardinemast/control/_proposal_throttle.py
@@ -5,7 +5,7 @@
 _AGAIN_S = 1.0
 
 
-class ProposalTimes:
+class ProposalThrottle:
     """Know for whom something was proposed, and when."""
 
     def __init__(self) -> None:
--- a/src/sardinemast/control/_roster_desk.py
+++ b/src/sardinemast/control/_roster_publisher.py
@@ -20,7 +20,7 @@
 _PLACED_AT_ONCE = 500
 
 
-class RosterDesk:
+class RosterPublisher:
     """Keep the roster while this process leads, and tell entries of it."""
 
     def __init__(
--- a/src/sardinemast/control/_slot_desk.py
+++ b/src/sardinemast/control/_slot_allocator.py
@@ -8,7 +8,7 @@
 _INTERVAL_S = 0.04
 
 
-class SlotDesk:
+class SlotAllocator:
     """Allot slots by demand and by what each team has used."""
 
     def __init__(
--- a/src/sardinemast/entry/_core.py
+++ b/src/sardinemast/entry/_core.py
@@ -6,11 +6,11 @@
 from typing import Any, NamedTuple
 
 from sardinemast.admission import (
-    Admitted,
+    Admission,
     Arrival,
-    Dispatcher,
     Refusal,
-    SlotParts,
+    RequestScheduler,
+    SlotAllotments,
     check_arrival,
     refuse_without_lease,
 )
@@ -60,12 +60,12 @@
         self._settings = settings
         self._link = ControlLink()
         self._holder = GrantHolder(settings.name, settings.incarnation)
-        self._dispatcher = Dispatcher()
-        self._slots = SlotParts(settings.data_centre)
+        self._scheduler = RequestScheduler()
+        self._slots = SlotAllotments(settings.data_centre)
         self._demand = DemandReports(
             self._link,
             self._holder,
-            self._dispatcher,
+            self._scheduler,
             self._slots,
         )
         self._attempts = AttemptTable(
@@ -121,7 +121,7 @@
         """Take an event and give the outputs, to be carried out in order."""
         self._outputs = []
         self._handlers[type(event)](event, now_s)
-        for request_id, refusal in self._dispatcher.expire(now_s):
+        for request_id, refusal in self._scheduler.expire(now_s):
             self._refuse(request_id, refusal)
         self._dispatch(now_s)
         for message in self._demand.make(now_s):
@@ -142,9 +142,9 @@
         checked = self._check(event.arrival, now_s)
         if isinstance(checked, Refusal):
             return checked
-        return self._dispatcher.take(event.arrival, checked, now_s)
+        return self._scheduler.enqueue(event.arrival, checked, now_s)
 
-    def _check(self, arrival: Arrival, now_s: float) -> Admitted | Refusal:
+    def _check(self, arrival: Arrival, now_s: float) -> Admission | Refusal:
         if not self._link.has_lease(now_s):
             return refuse_without_lease()
         return check_arrival(
@@ -158,32 +158,32 @@
         self, event: CallerDisconnected, now_s: float
     ) -> None:
         # What runs goes on and keeps its place; only what waits is dropped.
-        self._dispatcher.drop(event.request_id)
-        self._attempts.leave(event.request_id)
+        self._scheduler.cancel(event.request_id)
+        self._attempts.abandon(event.request_id)
 
     def _handle_ended(self, event: AttemptEnded, now_s: float) -> None:
-        ending = self._attempts.end(
+        outcome = self._attempts.end(
             event.request_id,
             event.attempt_result,
             now_s,
         )
-        if ending.next_step is NextStep.retry:
-            refusal = self._dispatcher.take_again(
-                ending.waiting,
+        if outcome.next_step is NextStep.retry:
+            refusal = self._scheduler.requeue(
+                outcome.request,
                 now_s,
-                ending.held_until_s,
-                ending.not_before_s,
+                outcome.held_until_s,
+                outcome.not_before_s,
             )
         else:
-            self._dispatcher.end(
-                ending.waiting,
-                ending.held_until_s,
+            self._scheduler.end(
+                outcome.request,
+                outcome.held_until_s,
                 now_s,
             )
-            refusal = ending.refusal
+            refusal = outcome.refusal
         if refusal is not None:
             self._refuse(event.request_id, refusal)
-        elif ending.next_step is NextStep.pass_answer:
+        elif outcome.next_step is NextStep.pass_answer:
             self._outputs.append(ForwardAnswer(event.request_id))
 
     def _handle_announced(
@@ -213,8 +213,8 @@
         elif isinstance(message, RecallGrants):
             self._holder.take_recalls(message.recalls)
         elif isinstance(message, AllotSlots):
-            self._slots.replace_parts(message.pools)
-            self._dispatcher.replace_parts(message.pools)
+            self._slots.replace_allotments(message.pools)
+            self._scheduler.replace_allotments(message.pools)
 
     def _take_roster(self, message: RosterChanged, now_s: float) -> None:
         handles = message.handles or (0,) * len(message.announcements)
@@ -239,18 +239,18 @@
     def _dispatch(self, now_s: float) -> None:
         if not self._link.has_lease(now_s):
             return
-        for waiting in self._dispatcher.get_ready(
+        for request in self._scheduler.get_ready(
             partial(self._holder.get_usable, self.state),
             partial(self._slots.get_slots, self.state),
             now_s,
         ):
-            attempt = self._attempts.start(self.state, waiting, now_s)
+            attempt = self._attempts.start(self.state, request, now_s)
             if attempt is not None:
-                self._dispatcher.start(waiting, now_s)
+                self._scheduler.start(request, now_s)
                 self._outputs.append(
                     attempt._replace(valid_until_s=self._link.lease_until_s),
                 )
 
     def _refuse(self, request_id: int, refusal: Refusal) -> None:
-        refusal = self._attempts.conclude(request_id, refusal)
+        refusal = self._attempts.resolve_refusal(request_id, refusal)
         self._outputs.append(RefuseRequest(request_id, refusal))
--- a/src/sardinemast/entry/_demand_reports.py
+++ b/src/sardinemast/entry/_demand_reports.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from sardinemast.admission import Dispatcher, SlotParts
+from sardinemast.admission import RequestScheduler, SlotAllotments
 from sardinemast.entry._control_link import URGENT_INTERVAL_S, ControlLink
 from sardinemast.grants import GrantHolder
 from sardinemast.protocol import (
@@ -26,12 +26,12 @@
         self,
         link: ControlLink,
         holder: GrantHolder,
-        dispatcher: Dispatcher,
-        slots: SlotParts,
+        scheduler: RequestScheduler,
+        slots: SlotAllotments,
     ) -> None:
         self._link = link
         self._holder = holder
-        self._dispatcher = dispatcher
+        self._scheduler = scheduler
         self._slots = slots
         self._short_teams: set[str] = set()
         self._idle_teams: set[str] = set()
@@ -48,11 +48,11 @@
 
     def make(self, now_s: float) -> Iterator[EntryMessage]:
         """Give what is to be sent now."""
-        wanted = self._dispatcher.count_wanted(self._get_slots)
+        wanted = self._scheduler.count_demand(self._get_slots)
         short_teams = self._get_short_teams(wanted)
         returns = self._holder.make_returns(
             self._link.state,
-            self._dispatcher.count_running,
+            self._scheduler.count_running,
         )
         idle_teams = self._get_idle_teams(wanted)
         is_changed = bool(short_teams or idle_teams - self._idle_teams)
@@ -64,7 +64,7 @@
         self._idle_teams &= idle_teams
         if renewal is None and (is_fresh or returns != self._returns):
             yield ReportDemand(
-                self._dispatcher.get_demands(self._get_slots), returns
+                self._scheduler.get_demands(self._get_slots), returns
             )
         self._short_teams = short_teams
         self._returns = returns
@@ -104,7 +104,7 @@
         self._looked_s = now_s
         return self._link.get_renewal(
             now_s,
-            self._dispatcher.get_demands(self._get_slots),
+            self._scheduler.get_demands(self._get_slots),
             returns,
             is_urgent=is_urgent,
         )
@@ -113,7 +113,7 @@
         if now_s < self._pools_told_s + _POOL_INTERVAL_S:
             return
         self._pools_told_s = now_s
-        uses = self._dispatcher.get_uses(now_s)
+        uses = self._scheduler.get_usage(now_s)
         if uses or self._has_told_pools:
             self._has_told_pools = bool(uses)
             yield ReportPools(
--- a/src/sardinemast/routing/__init__.py
+++ b/src/sardinemast/routing/__init__.py
@@ -1,9 +1,9 @@
 """Which upstream runs a request, and what follows from how that ends."""
 
 from sardinemast.routing._attempts import (
+    AttemptOutcome,
     AttemptResult,
     AttemptTable,
-    Ending,
     NextStep,
     StartAttempt,
 )
@@ -12,7 +12,7 @@
 __all__ = (
     'AttemptResult',
     'AttemptTable',
-    'Ending',
+    'AttemptOutcome',
     'NextStep',
     'StartAttempt',
     'UpstreamPicker',
--- a/src/sardinemast/routing/_attempts.py
+++ b/src/sardinemast/routing/_attempts.py
@@ -6,15 +6,15 @@
 from typing import NamedTuple
 
 from sardinemast.admission import (
+    QueuedRequest,
     Refusal,
     RunOutcome,
-    Waiting,
     refuse_unknown,
 )
 from sardinemast.fleet import FleetState, get_pool
 from sardinemast.membership import Announcement
 from sardinemast.routing._budget import RetryBudget
-from sardinemast.routing._picker import UpstreamPicker, Wish
+from sardinemast.routing._picker import UpstreamCriteria, UpstreamPicker
 
 _MAX_SENT = 3
 _FIRST_BACK_OFF_S = 0.01
@@ -72,7 +72,7 @@
     refuse = 'refuse'
 
 
-class Ending(NamedTuple):
+class AttemptOutcome(NamedTuple):
     """Hold what follows the end of an attempt.
 
     ``held_until_s`` is set where the upstream may still run the request;
@@ -80,7 +80,7 @@
     waits until ``not_before_s``.
     """
 
-    waiting: Waiting
+    request: QueuedRequest
     next_step: NextStep
     refusal: Refusal | None = None
     held_until_s: float | None = None
@@ -88,7 +88,7 @@
 
 
 class _Running(NamedTuple):
-    waiting: Waiting
+    request: QueuedRequest
     upstream: Announcement
     started_s: float
     bound_until_s: float
@@ -129,31 +129,33 @@
     def start(
         self,
         state: FleetState,
-        waiting: Waiting,
+        request: QueuedRequest,
         now_s: float,
     ) -> StartAttempt | None:
         """Choose an upstream, or give nothing where none is to be had yet."""
-        history = self._histories.get(waiting.request_id, _NO_HISTORY)
-        pool = get_pool(state, waiting.pool, self._site)
+        history = self._histories.get(request.request_id, _NO_HISTORY)
+        pool = get_pool(state, request.pool, self._site)
         if pool is None or now_s < history.not_before_s:
             return None
-        wish = Wish(waiting.pool, waiting.is_repeatable, history.avoided)
-        upstream = self._picker.choose(state, wish, now_s)
+        criteria = UpstreamCriteria(
+            request.pool, request.is_repeatable, history.avoided
+        )
+        upstream = self._picker.choose(state, criteria, now_s)
         if upstream is None:
             return None
         self._picker.start(upstream)
-        self._running[waiting.request_id] = _Running(
-            waiting,
+        self._running[request.request_id] = _Running(
+            request,
             upstream,
             now_s,
             now_s + pool.run_bound_s,
         )
-        timeout_s = min(waiting.due_s - now_s, pool.run_bound_s)
+        timeout_s = min(request.due_s - now_s, pool.run_bound_s)
         return StartAttempt(
-            waiting.request_id,
+            request.request_id,
             upstream,
             timeout_s,
-            waiting.is_repeatable,
+            request.is_repeatable,
             pool.connections,
         )
 
@@ -162,10 +164,10 @@
         request_id: int,
         attempt_result: AttemptResult,
         now_s: float,
-    ) -> Ending:
+    ) -> AttemptOutcome:
         """Note how an attempt ended, and tell what follows."""
         running = self._running.pop(request_id)
-        waiting = running.waiting
+        request = running.request
         self._picker.end(running.upstream)
         self._note(running, attempt_result, now_s)
         held_until_s = None
@@ -173,8 +175,8 @@
             held_until_s = running.bound_until_s
         if self._may_retry(running, attempt_result, now_s):
             self._back_off(running, attempt_result, now_s)
-            return Ending(
-                waiting,
+            return AttemptOutcome(
+                request,
                 NextStep.retry,
                 None,
                 held_until_s,
@@ -183,15 +185,15 @@
         self._histories.pop(request_id, None)
         self._left.discard(request_id)
         if attempt_result in _WITH_ANSWER:
-            return Ending(waiting, NextStep.pass_answer)
-        return Ending(
-            waiting,
+            return AttemptOutcome(request, NextStep.pass_answer)
+        return AttemptOutcome(
+            request,
             NextStep.refuse,
             _describe_unknown(attempt_result),
             held_until_s,
         )
 
-    def conclude(self, request_id: int, refusal: Refusal) -> Refusal:
+    def resolve_refusal(self, request_id: int, refusal: Refusal) -> Refusal:
         """Give the refusal, made true for what was sent before.
 
         A request that was sent once and then waited for another try until
@@ -202,7 +204,7 @@
             return _describe_unknown(AttemptResult.timed_out)
         return refusal
 
-    def leave(self, request_id: int) -> None:
+    def abandon(self, request_id: int) -> None:
         """Note that nobody waits for the answer, so that no retry follows."""
         self._histories.pop(request_id, None)
         if request_id in self._running:
@@ -231,20 +233,20 @@
         attempt_result: AttemptResult,
         now_s: float,
     ) -> bool:
-        waiting = running.waiting
+        request = running.request
         if (
             attempt_result is AttemptResult.answered
-            or waiting.request_id in self._left
+            or request.request_id in self._left
         ):
             return False
         if attempt_result is AttemptResult.not_sent:
             return True
-        history = self._histories.get(waiting.request_id, _NO_HISTORY)
+        history = self._histories.get(request.request_id, _NO_HISTORY)
         return (
-            waiting.is_repeatable
-            and now_s < waiting.due_s
+            request.is_repeatable
+            and now_s < request.due_s
             and history.sent_count + 1 < _MAX_SENT
-            and self._get_budget(waiting.pool).take()
+            and self._get_budget(request.pool).take()
         )
 
     def _back_off(
@@ -253,7 +255,7 @@
         attempt_result: AttemptResult,
         now_s: float,
     ) -> None:
-        request_id = running.waiting.request_id
+        request_id = running.request.request_id
         history = self._histories.get(request_id, _NO_HISTORY)
         longest_s = min(
             _FIRST_BACK_OFF_S * 2**history.try_count, _LONGEST_BACK_OFF_S
--- a/src/sardinemast/routing/_health.py
+++ b/src/sardinemast/routing/_health.py
@@ -6,7 +6,7 @@
 
 _FAILURE_WEIGHT = 0.2
 _DURATION_WEIGHT = 0.2
-_SET_ASIDE_ABOVE = 0.5
+_EJECTION_FAILURE_RATE = 0.5
 _SLOW_FACTOR = 5
 _SLOW_SAMPLES = 5
 _FORGIVEN_SAMPLES = 20
@@ -39,7 +39,7 @@
         self._aside_count = 0
 
     @property
-    def is_aside(self) -> bool:
+    def is_ejected(self) -> bool:
         """Tell whether it gets probes only."""
         return self._aside_until_s is not None
 
@@ -69,7 +69,7 @@
         """Note an answer; a probe's brings the upstream back, cold."""
         if self._is_before_aside(started_s):
             return
-        if self.is_aside:
+        if self.is_ejected:
             self._aside_until_s = None
             self._failure_rate = 0
             self._warm_since_s = now_s
@@ -90,8 +90,8 @@
         if self._is_before_aside(started_s):
             return
         self._failure_rate += _FAILURE_WEIGHT * (1 - self._failure_rate)
-        if self.is_aside or self._failure_rate > _SET_ASIDE_ABOVE:
-            self.set_aside(now_s, random)
+        if self.is_ejected or self._failure_rate > _EJECTION_FAILURE_RATE:
+            self.eject(now_s, random)
 
     def is_slow(self, typical_s: float) -> bool:
         """Tell whether answers take many times what is typical."""
@@ -100,7 +100,7 @@
             and (self.duration_s or 0) > _SLOW_FACTOR * typical_s
         )
 
-    def set_aside(self, now_s: float, random: Random) -> None:
+    def eject(self, now_s: float, random: Random) -> None:
         """Send it nothing for a while, longer each time.
 
         The jitter keeps entries from probing in step; a recovering upstream
@@ -118,7 +118,7 @@
         # What was under way when the upstream was set aside tells nothing
         # new: late answers would bring it back, and a burst of failures
         # would each make the time longer.
-        return self.is_aside and started_s <= self._aside_since_s
+        return self.is_ejected and started_s <= self._aside_since_s
 
     def _note_duration(self, duration_s: float) -> None:
         fresh = math.log(max(duration_s, _SHORTEST_S))
--- a/src/sardinemast/routing/_picker.py
+++ b/src/sardinemast/routing/_picker.py
@@ -9,11 +9,11 @@
 from sardinemast.membership import Announcement, UpstreamStatus
 from sardinemast.routing._health import UpstreamHealth, get_typical_s
 
-Start = tuple[str, int]
+UpstreamKey = tuple[str, int]
 _UNKNOWN_S = 0.05
 
 
-class Wish(NamedTuple):
+class UpstreamCriteria(NamedTuple):
     """Hold what matters for the choice.
 
     ``avoided`` are the upstreams at which the request has failed before.
@@ -31,8 +31,8 @@
         self._site = site
         self._random = random
         self._pools: dict[str, list[Announcement]] = {}
-        self._running: dict[Start, int] = {}
-        self._healths: dict[Start, UpstreamHealth] = {}
+        self._running: dict[UpstreamKey, int] = {}
+        self._healths: dict[UpstreamKey, UpstreamHealth] = {}
 
     def replace_roster(
         self,
@@ -49,37 +49,37 @@
         for one in announcements:
             self._pools.setdefault(one.pool, []).append(one)
             self._healths.setdefault(
-                get_start(one), UpstreamHealth(warm_since_s)
+                get_upstream_key(one), UpstreamHealth(warm_since_s)
             )
         self._forget_former(announcements)
 
     def choose(
         self,
         state: FleetState,
-        wish: Wish,
+        criteria: UpstreamCriteria,
         now_s: float,
     ) -> Announcement | None:
         """Give the upstream for a request, or nothing where all are full."""
-        pool = get_pool(state, wish.pool, self._site)
+        pool = get_pool(state, criteria.pool, self._site)
         if pool is None:
             return None
         usable = [
             one
-            for one in self._pools.get(wish.pool, ())
-            if _is_usable(state, one, wish.pool)
+            for one in self._pools.get(criteria.pool, ())
+            if _is_usable(state, one, criteria.pool)
         ]
-        candidates = self._get_candidates(usable, wish, now_s)
+        candidates = self._get_candidates(usable, criteria, now_s)
         free = [one for one in candidates if self._has_slot(one, pool, now_s)]
-        return min(free, key=self._get_rank(wish), default=None)
+        return min(free, key=self._get_rank(criteria), default=None)
 
     def start(self, upstream: Announcement) -> None:
         """Count a request as running at an upstream."""
-        start = get_start(upstream)
+        start = get_upstream_key(upstream)
         self._running[start] = self._running.get(start, 0) + 1
 
     def end(self, upstream: Announcement) -> None:
         """Count a request as ended at an upstream."""
-        start = get_start(upstream)
+        start = get_upstream_key(upstream)
         self._running[start] -= 1
         if not self._running[start]:
             self._running.pop(start)
@@ -91,13 +91,13 @@
         now_s: float,
     ) -> None:
         """Note a good answer, and set the upstream aside where it is slow."""
-        health = self._healths.get(get_start(upstream))
+        health = self._healths.get(get_upstream_key(upstream))
         if health is None:
             return
         health.note_answer(started_s, now_s)
         typical_s = self._get_typical_s(upstream.pool)
         if typical_s is not None and health.is_slow(typical_s):
-            health.set_aside(now_s, self._random)
+            health.eject(now_s, self._random)
 
     def note_failure(
         self,
@@ -106,7 +106,7 @@
         now_s: float,
     ) -> None:
         """Note a failure of an upstream."""
-        health = self._healths.get(get_start(upstream))
+        health = self._healths.get(get_upstream_key(upstream))
         if health is not None:
             health.note_failure(started_s, now_s, self._random)
 
@@ -122,14 +122,18 @@
     def _get_candidates(
         self,
         usable: list[Announcement],
-        wish: Wish,
+        criteria: UpstreamCriteria,
         now_s: float,
     ) -> list[Announcement]:
-        probes = [one for one in usable if self._may_probe(one, wish, now_s)]
-        if probes and not wish.avoided:
+        probes = [
+            one for one in usable if self._may_probe(one, criteria, now_s)
+        ]
+        if probes and not criteria.avoided:
             return probes
         good = [
-            one for one in usable if not self._healths[get_start(one)].is_aside
+            one
+            for one in usable
+            if not self._healths[get_upstream_key(one)].is_ejected
         ]
         # Where all are set aside, trying one of them is the only way to
         # serve; a pool that has recovered would stay unused otherwise.
@@ -138,25 +142,25 @@
     def _may_probe(
         self,
         one: Announcement,
-        wish: Wish,
+        criteria: UpstreamCriteria,
         now_s: float,
     ) -> bool:
-        start = get_start(one)
+        start = get_upstream_key(one)
         return not self._running.get(start) and self._healths[start].may_probe(
-            now_s, is_repeatable=wish.is_repeatable
+            now_s, is_repeatable=criteria.is_repeatable
         )
 
     def _has_slot(self, one: Announcement, pool: Pool, now_s: float) -> bool:
-        start = get_start(one)
+        start = get_upstream_key(one)
         slots = self._healths[start].get_slots(pool.slots, now_s)
         return self._running.get(start, 0) < slots
 
     def _get_rank(
         self,
-        wish: Wish,
+        criteria: UpstreamCriteria,
     ) -> Callable[[Announcement], tuple[int, bool, float, float]]:
-        domains = [_get_domain(one) for one in wish.avoided]
-        instances = {one.instance for one in wish.avoided}
+        domains = [_get_domain(one) for one in criteria.avoided]
+        instances = {one.instance for one in criteria.avoided}
 
         def rank(one: Announcement) -> tuple[int, bool, float, float]:
             repeats = domains.count(_get_domain(one))
@@ -171,14 +175,14 @@
         return rank
 
     def _get_cost_s(self, one: Announcement) -> float:
-        start = get_start(one)
+        start = get_upstream_key(one)
         duration_s = self._healths[start].duration_s or _UNKNOWN_S
         return duration_s * (self._running.get(start, 0) + 1)
 
     def _get_typical_s(self, pool_name: str) -> float | None:
         return get_typical_s(
             [
-                self._healths[get_start(one)]
+                self._healths[get_upstream_key(one)]
                 for one in self._pools.get(pool_name, ())
             ]
         )
@@ -186,13 +190,13 @@
     def _forget_former(self, announcements: tuple[Announcement, ...]) -> None:
         # Those that are merely gone stay: a roster that is empty for a
         # moment must not forget who is warm and who is set aside.
-        newest = dict(map(get_start, announcements))
+        newest = dict(map(get_upstream_key, announcements))
         for instance, incarnation in tuple(self._healths):
             if newest.get(instance, incarnation) > incarnation:
                 self._healths.pop((instance, incarnation))
 
 
-def get_start(one: Announcement) -> Start:
+def get_upstream_key(one: Announcement) -> UpstreamKey:
     """Name one start of an upstream."""
     return (one.instance, one.incarnation)
 
--- a/src/sardinemast/shell/_control.py
+++ b/src/sardinemast/shell/_control.py
@@ -107,7 +107,7 @@
             self.loop.put,
             self._access,
         )
-        self._asked: list[control.OperatorAsked] = []
+        self._asked: list[control.CommandRequested] = []
         self._identity = identity
         self._stream_ids = count(1)
         self._outboxes: dict[int, Outbox] = {}
@@ -145,9 +145,9 @@
             self._writer.close()
 
     def _put_asked(self, event: control.ControlEvent) -> None:
-        if isinstance(event, control.OperatorAsked):
+        if isinstance(event, control.CommandRequested):
             self._asked.append(event)
-            event = control.OperatorsAsked(())
+            event = control.CommandsRequested(())
         self.loop.put(event)
 
     def _step(
@@ -157,10 +157,10 @@
     ) -> list[control.ControlOutput]:
         # While one write is synced, more commands come in. They are all
         # taken with the first, so that one sync serves them together.
-        if isinstance(event, control.OperatorsAsked):
+        if isinstance(event, control.CommandsRequested):
             if not self._asked:
                 return []
-            event = control.OperatorsAsked(tuple(self._asked))
+            event = control.CommandsRequested(tuple(self._asked))
             self._asked.clear()
         return self.core.step(event, now_s)
 
@@ -182,7 +182,7 @@
             received = consensus.unpack_routed_message(
                 envelope.sender, envelope.body
             )
-            self.loop.put(control.PeerReceived(*received))
+            self.loop.put(control.PeerMessageReceived(*received))
 
     async def _read_entry(self, link: ServerConnection) -> None:
         first = unseal_from(
@@ -209,7 +209,7 @@
                     link, frame, self._identity, self._access
                 )
                 message = ENTRY_MESSAGES.unpack(envelope.body)
-                self.loop.put(control.EntryReceived(stream_id, message))
+                self.loop.put(control.EntryMessageReceived(stream_id, message))
         finally:
             sending.cancel()
             self._forget_stream(stream_id)
@@ -293,7 +293,7 @@
                 _log.debug('Stream {} is sent on.', output.stream_id)
 
     @_execute.register
-    def _execute_gather(self, output: control.GatherProposals) -> None:
+    def _execute_gather(self, output: control.ScheduleProposals) -> None:
         asyncio.get_running_loop().call_later(
             GATHER_S,
             self.loop.put,
@@ -301,7 +301,7 @@
         )
 
     @_execute.register
-    def _execute_continue(self, output: control.ContinueApplying) -> None:
+    def _execute_continue(self, output: control.ScheduleApply) -> None:
         # What sockets have received meanwhile is read first.
         asyncio.get_running_loop().call_soon(
             self.loop.put,
--- a/src/sardinemast/shell/_gateway.py
+++ b/src/sardinemast/shell/_gateway.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from sardinemast.control import ControlEvent, make_unsent
+from sardinemast.control import ControlEvent, make_not_sent_event
 from sardinemast.dispatch import DispatchOutput, DispatchSettings
 from sardinemast.metrics import ProcessMetrics
 from sardinemast.shell._relay import LeaderRelay
@@ -36,7 +36,7 @@
         take: Callable[[ControlEvent], None],
     ) -> None:
         """Send nothing."""
-        unsent = make_unsent(order)
+        unsent = make_not_sent_event(order)
         if unsent is not None:
             take(unsent)
 
--- a/src/sardinemast/shell/_operator_http.py
+++ b/src/sardinemast/shell/_operator_http.py
@@ -71,7 +71,7 @@
         self._waiting[request_id] = answer
         if self._put is not None:
             self._put(
-                control.OperatorAsked(request_id, command, time.time()),
+                control.CommandRequested(request_id, command, time.time()),
             )
         try:
             return await asyncio.wait_for(answer, _ANSWER_TIMEOUT_S)
--- a/src/sardinemast/shell/_replica_http.py
+++ b/src/sardinemast/shell/_replica_http.py
@@ -42,7 +42,7 @@
         request_id = next(self._request_ids)
         answer = asyncio.get_running_loop().create_future()
         self._waiting[request_id] = answer
-        self._put(control.RepairAsked(request_id, name))
+        self._put(control.RepairRequested(request_id, name))
         try:
             return await asyncio.wait_for(answer, _ANSWER_TIMEOUT_S)
         finally:
--- a/tests/admission/test_dispatcher.py
+++ b/tests/admission/test_scheduler.py
@@ -1,6 +1,11 @@
 """What waits and what may start at one entry."""
 
-from sardinemast.admission import Admitted, Arrival, Dispatcher, Waiting
+from sardinemast.admission import (
+    Admission,
+    Arrival,
+    QueuedRequest,
+    RequestScheduler,
+)
 from sardinemast.protocol import PoolAllotment, TeamAllotment
 
 _DEADLINE_S = 100
@@ -8,24 +13,24 @@
 
 def test_urgent_goes_first_and_then_the_earliest_deadline() -> None:
     """Within a team, urgent work goes ahead of an earlier deadline."""
-    dispatcher = Dispatcher()
-    _take(dispatcher, 1, due_s=50)
-    _take(dispatcher, 2, due_s=40)
-    _take(dispatcher, 3, due_s=90, is_urgent=True)
-    assert _start_all(dispatcher, slots=3) == [3, 2, 1]
+    scheduler = RequestScheduler()
+    _take(scheduler, 1, due_s=50)
+    _take(scheduler, 2, due_s=40)
+    _take(scheduler, 3, due_s=90, is_urgent=True)
+    assert _start_all(scheduler, slots=3) == [3, 2, 1]
 
 
 def test_slots_go_to_teams_by_their_parts() -> None:
     """A team with three times the part gets three times the slots."""
-    dispatcher = Dispatcher()
+    scheduler = RequestScheduler()
     parts = (TeamAllotment('large', 6), TeamAllotment('small', 2))
-    dispatcher.replace_parts((PoolAllotment('pool', 8, parts),))
+    scheduler.replace_allotments((PoolAllotment('pool', 8, parts),))
     for number in range(4):
-        _take(dispatcher, number, team='other')
-        dispatcher.end(_start(dispatcher, slots=1), None, number + 1)
+        _take(scheduler, number, team='other')
+        scheduler.end(_start(scheduler, slots=1), None, number + 1)
     for number in range(20, 40):
-        _take(dispatcher, number, team='large' if number % 2 else 'small')
-    started = _start_all(dispatcher, slots=8, now_s=5)
+        _take(scheduler, number, team='large' if number % 2 else 'small')
+    started = _start_all(scheduler, slots=8, now_s=5)
     assert sum(number % 2 for number in started) == 6
 
 
@@ -36,14 +41,14 @@
     answer that cannot come resend, and the line never ends; told at once
     and told when to come back, they do not.
     """
-    dispatcher = Dispatcher()
+    scheduler = RequestScheduler()
     for number in range(3):
-        _take(dispatcher, number)
-        dispatcher.end(_start(dispatcher, slots=1), None, number + 1)
+        _take(scheduler, number)
+        scheduler.end(_start(scheduler, slots=1), None, number + 1)
     refusals = [
-        dispatcher.take(
+        scheduler.enqueue(
             Arrival(number, 'pool', b'', False, None, 1),
-            Admitted('team', 3 + 5),
+            Admission('team', 3 + 5),
             3,
         )
         for number in range(10, 30)
@@ -56,13 +61,13 @@
 
 def test_leaving_callers_leave_nothing() -> None:
     """A wave of leaving callers empties the line."""
-    dispatcher = Dispatcher()
+    scheduler = RequestScheduler()
     for number in range(200):
-        _take(dispatcher, number)
+        _take(scheduler, number)
     for number in range(200):
-        dispatcher.drop(number)
-    assert dispatcher.get_demands(lambda _: 8) == ()
-    assert not list(dispatcher.expire(_DEADLINE_S))
+        scheduler.cancel(number)
+    assert scheduler.get_demands(lambda _: 8) == ()
+    assert not list(scheduler.expire(_DEADLINE_S))
 
 
 def test_second_attempt_gets_a_time_of_its_own() -> None:
@@ -72,12 +77,12 @@
     half of the deadline. The second attempt has the other half; refused at
     once, the caller would get an error though an upstream is free.
     """
-    dispatcher = Dispatcher()
-    _take(dispatcher, 1, due_s=4)
-    waiting = _start(dispatcher, slots=1)
-    assert dispatcher.take_again(waiting, 1.9) is None
-    assert not list(dispatcher.expire(2.1))
-    assert _start_all(dispatcher, slots=1, now_s=2.1) == [1]
+    scheduler = RequestScheduler()
+    _take(scheduler, 1, due_s=4)
+    request = _start(scheduler, slots=1)
+    assert scheduler.requeue(request, 1.9) is None
+    assert not list(scheduler.expire(2.1))
+    assert _start_all(scheduler, slots=1, now_s=2.1) == [1]
 
 
 def test_request_that_backs_off_blocks_nobody() -> None:
@@ -86,18 +91,18 @@
     One request failed and is to be tried again a little later. If it stood at
     the head of its line meanwhile, all requests of its team would wait too.
     """
-    dispatcher = Dispatcher()
-    _take(dispatcher, 1)
-    waiting = _start(dispatcher, slots=2)
-    assert dispatcher.take_again(waiting, 0, None, 0.5) is None
-    _take(dispatcher, 2)
-    assert _start_all(dispatcher, slots=2) == [2]
-    assert not list(dispatcher.expire(0.5))
-    assert _start_all(dispatcher, slots=2, now_s=0.5) == [1]
+    scheduler = RequestScheduler()
+    _take(scheduler, 1)
+    request = _start(scheduler, slots=2)
+    assert scheduler.requeue(request, 0, None, 0.5) is None
+    _take(scheduler, 2)
+    assert _start_all(scheduler, slots=2) == [2]
+    assert not list(scheduler.expire(0.5))
+    assert _start_all(scheduler, slots=2, now_s=0.5) == [1]
 
 
 def _take(
-    dispatcher: Dispatcher,
+    scheduler: RequestScheduler,
     request_id: int,
     team: str = 'team',
     due_s: float = _DEADLINE_S,
@@ -105,22 +110,24 @@
     is_urgent: bool = False,
 ) -> None:
     arrival = Arrival(request_id, 'pool', b'', False, None, 1, is_urgent)
-    assert dispatcher.take(arrival, Admitted(team, due_s), 0) is None
+    assert scheduler.enqueue(arrival, Admission(team, due_s), 0) is None
 
 
-def _start(dispatcher: Dispatcher, slots: int, now_s: float = 0) -> Waiting:
-    ready = dispatcher.get_ready(lambda _: 99, lambda _: slots, now_s)
-    waiting = next(ready)
-    dispatcher.start(waiting, now_s)
-    return waiting
+def _start(
+    scheduler: RequestScheduler, slots: int, now_s: float = 0
+) -> QueuedRequest:
+    ready = scheduler.get_ready(lambda _: 99, lambda _: slots, now_s)
+    request = next(ready)
+    scheduler.start(request, now_s)
+    return request
 
 
 def _start_all(
-    dispatcher: Dispatcher, slots: int, now_s: float = 0
+    scheduler: RequestScheduler, slots: int, now_s: float = 0
 ) -> list[int]:
     started: list[int] = []
-    ready = dispatcher.get_ready(lambda _: 99, lambda _: slots, now_s)
-    for waiting in ready:
-        dispatcher.start(waiting, now_s)
-        started.append(waiting.request_id)
+    ready = scheduler.get_ready(lambda _: 99, lambda _: slots, now_s)
+    for request in ready:
+        scheduler.start(request, now_s)
+        started.append(request.request_id)
     return started
--- a/tests/builders/operators.py
+++ b/tests/builders/operators.py
@@ -138,7 +138,7 @@
 
     def ask(self, request_id: int, command: Command, wall_s: float = 0) -> None:
         """Send an operator's command."""
-        self.step_leader(control.OperatorAsked(request_id, command, wall_s))
+        self.step_leader(control.CommandRequested(request_id, command, wall_s))
 
     def advance(self, duration_s: float, tick_s: float = TICK_S) -> None:
         """Let time pass, with all that is not held up."""
@@ -185,7 +185,7 @@
 
     def _deliver_up(self, process: Process) -> None:
         while process.up and process.stream_id and not process.is_cut:
-            event = control.EntryReceived(
+            event = control.EntryMessageReceived(
                 process.stream_id,
                 process.up.popleft(),
             )
--- a/tests/builders/teams.py
+++ b/tests/builders/teams.py
@@ -55,7 +55,7 @@
         self.is_held = False
         self.to_entries: list[control.SendToEntry] = []
         self.answers: list[control.AnswerOperator] = []
-        self._mail: deque[tuple[str, control.PeerReceived]] = deque()
+        self._mail: deque[tuple[str, control.PeerMessageReceived]] = deque()
 
     def get_leader(self, now_s: float) -> str:
         """Give the process that answers now, or an empty name."""
@@ -86,7 +86,7 @@
     def _take(self, name: str, outputs: list[control.ControlOutput]) -> None:
         for output in outputs:
             if isinstance(output, consensus.SendMessage):
-                event = control.PeerReceived(name, output.message)
+                event = control.PeerMessageReceived(name, output.message)
                 self._mail.append((output.to, event))
             elif isinstance(output, control.SendToEntry):
                 self.to_entries.append(output)
--- a/tests/control/test_apply_queue.py
+++ b/tests/control/test_apply_queue.py
@@ -34,9 +34,7 @@
         before = core.state.log_index
         outputs = core.step(event, now_s)
         applied.append(core.state.log_index - before)
-        if not any(
-            isinstance(one, control.ContinueApplying) for one in outputs
-        ):
+        if not any(isinstance(one, control.ScheduleApply) for one in outputs):
             return applied
         event = control.ApplyDue()
 
--- a/tests/control/test_membership_session.py
+++ b/tests/control/test_membership_session.py
@@ -48,5 +48,5 @@
     check_golden('control_membership', session.transcript)
 
 
-def _receive(message: EntryMessage) -> control.EntryReceived:
-    return control.EntryReceived(1, message)
+def _receive(message: EntryMessage) -> control.EntryMessageReceived:
+    return control.EntryMessageReceived(1, message)
--- a/tests/control/test_answers.py
+++ b/tests/control/test_operator_answers.py
@@ -26,9 +26,9 @@
     core.step(control.Tick(), 1.3)
     for is_pre_vote in (True, False):
         reply = consensus.VoteReply(1, True, is_pre_vote)
-        core.step(control.PeerReceived('control-2', reply), 1.3)
-    core.step(control.OperatorAsked(7, WithdrawKey('c1', 'k1')), 1.3)
+        core.step(control.PeerMessageReceived('control-2', reply), 1.3)
+    core.step(control.CommandRequested(7, WithdrawKey('c1', 'k1')), 1.3)
     newer = consensus.AppendEntries(2, 0, 0, (), 0, 0)
-    outputs = core.step(control.PeerReceived('control-3', newer), 1.4)
+    outputs = core.step(control.PeerMessageReceived('control-3', newer), 1.4)
     unknown = control.OperatorAnswer(None, 0, 0, 0, is_unknown=True)
     assert control.AnswerOperator(7, unknown) in outputs
--- a/tests/control/test_slot_desk.py
+++ b/tests/control/test_slot_allocator.py
@@ -4,7 +4,7 @@
 from sardinemast.control._context import ControlContext
 from sardinemast.control._events import ControlOutput, SendToEntry
 from sardinemast.control._sessions import EntrySessions, Session
-from sardinemast.control._slot_desk import SlotDesk
+from sardinemast.control._slot_allocator import SlotAllocator
 from sardinemast.fleet import ApplyDocument, FleetState, apply_command
 from sardinemast.protocol import AllotSlots, PoolUse, ReportPools, TeamUse
 
@@ -22,7 +22,7 @@
     sessions = EntrySessions()
     session = Session(1, 'entry-1', 1)
     sessions.open(session)
-    desk = SlotDesk(
+    desk = SlotAllocator(
         ControlContext(state, outputs, lambda *_: None, 3),
         sessions,
     )
--- a/tests/control/test_images.py
+++ b/tests/control/test_snapshots.py
@@ -24,7 +24,7 @@
     outputs = [
         *core.step(control.Tick(), 0),
         *core.step(control.Tick(), 10),
-        *core.step(control.OperatorAsked(1, command), 10),
+        *core.step(control.CommandRequested(1, command), 10),
     ]
     saved = [one for one in outputs if isinstance(one, consensus.SaveSnapshot)]
     restarted = control.ControlCore(
--- a/tests/entry/test_limits_fuzz.py
+++ b/tests/entry/test_limits_fuzz.py
@@ -307,7 +307,9 @@
     def _deliver_up(self, stream: Stream) -> None:
         is_open = stream.stream_id in self.streams
         if stream.up and is_open:
-            event = control.EntryReceived(stream.stream_id, stream.up.popleft())
+            event = control.EntryMessageReceived(
+                stream.stream_id, stream.up.popleft()
+            )
             self.controls.step(stream.control_name, event, self.now_s)
             self._collect()
 
@@ -324,7 +326,7 @@
 
     def _ask(self, command: object, request_id: int = 0) -> None:
         leader = self.controls.get_leader(self.now_s)
-        event = control.OperatorAsked(request_id, command)  # type: ignore[arg-type]
+        event = control.CommandRequested(request_id, command)  # type: ignore[arg-type]
         self.controls.step(leader, event, self.now_s)
         self._collect()
 
--- a/tests/fleet/test_subsystem_commands.py
+++ b/tests/fleet/test_subsystem_commands.py
@@ -15,7 +15,7 @@
     load_state,
 )
 from sardinemast.fleet._entry_updates import dump_for_entry, make_entry_update
-from sardinemast.routing._picker import UpstreamPicker, Wish
+from sardinemast.routing._picker import UpstreamCriteria, UpstreamPicker
 
 _BUDGETS = maintenance.Budgets(
     (
@@ -131,6 +131,6 @@
     announcement = make_announcement()
     picker = UpstreamPicker('rennes', Random(1))
     picker.replace_roster((announcement,), 0)
-    wish = Wish('enrolment', is_repeatable=False)
-    assert picker.choose(make_fleet(), wish, 0) == announcement
-    assert picker.choose(_make_moving(), wish, 0) is None
+    criteria = UpstreamCriteria('enrolment', is_repeatable=False)
+    assert picker.choose(make_fleet(), criteria, 0) == announcement
+    assert picker.choose(_make_moving(), criteria, 0) is None
--- a/tests/grants/test_grant_sessions.py
+++ b/tests/grants/test_grant_sessions.py
@@ -25,7 +25,7 @@
     core.step(control.Tick(), 0)
     core.step(control.Tick(), 2)
     for command in make_setup_commands(1):
-        core.step(control.OperatorAsked(0, command), 2)
+        core.step(control.CommandRequested(0, command), 2)
     for stream_id in (1, 2):
         name = f'entry-{stream_id}'
         core.step(control.EntryConnected(stream_id, name, 1), 2)
@@ -55,5 +55,7 @@
     return RenewLease(0, applied_index, (TeamDemand(TEAM, wanted, 0),), ())
 
 
-def _receive(stream_id: int, message: EntryMessage) -> control.EntryReceived:
-    return control.EntryReceived(stream_id, message)
+def _receive(
+    stream_id: int, message: EntryMessage
+) -> control.EntryMessageReceived:
+    return control.EntryMessageReceived(stream_id, message)
--- a/tests/grants/test_releases.py
+++ b/tests/grants/test_releases.py
@@ -28,10 +28,10 @@
         controls.tick(now_s)
     leader = controls.get_leader(now_s)
     for command in make_setup_commands(1):
-        controls.step(leader, control.OperatorAsked(0, command), now_s)
+        controls.step(leader, control.CommandRequested(0, command), now_s)
     connected = control.EntryConnected(1, 'entry-1', 1)
     controls.step(leader, connected, now_s)
-    renewal = control.EntryReceived(1, RenewLease(now_s, 0, _WISH, ()))
+    renewal = control.EntryMessageReceived(1, RenewLease(now_s, 0, _WISH, ()))
     controls.step(leader, renewal, now_s)
     controls.step(leader, renewal, now_s)
     assert controls.cores[leader].state.grants
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from builders import make_announcement, make_fleet
-from sardinemast.admission import Waiting
+from sardinemast.admission import QueuedRequest
 from sardinemast.fleet import AssignInstance, FleetState, apply_command
 from sardinemast.membership import Announcement
 from sardinemast.routing import (
@@ -41,10 +41,10 @@
         is_repeatable: bool = False,
     ) -> StartAttempt | None:
         self.last_id += 1
-        waiting = Waiting(
+        request = QueuedRequest(
             self.last_id, 'petits-pixels', 'enrolment', 1e9, is_repeatable
         )
-        return self.table.start(self.state, waiting, now_s)
+        return self.table.start(self.state, request, now_s)
 
     def fail(self, now_s: float, *, is_repeatable: bool = False) -> str:
         """Start and fail a request, and give where it was."""
@@ -81,10 +81,10 @@
         assert started is not None
         name = started.upstream.instance
         served.append(name)
-        ending = (
+        outcome = (
             AttemptResult.failed if name == 'bad' else AttemptResult.answered
         )
-        table.table.end(started.request_id, ending, 0)
+        table.table.end(started.request_id, outcome, 0)
     assert 'bad' not in served[20:]
     assert 'good' in served
 
@@ -184,9 +184,9 @@
         assert started is not None
         if started.upstream.instance != 'b':
             break
-    ending = table.table.end(started.request_id, AttemptResult.broken, _LATE_S)
-    assert ending.next_step is NextStep.retry
-    again = table.table.start(table.state, ending.waiting, _LATE_S + 1)
+    outcome = table.table.end(started.request_id, AttemptResult.broken, _LATE_S)
+    assert outcome.next_step is NextStep.retry
+    again = table.table.start(table.state, outcome.request, _LATE_S + 1)
     assert again is not None
     assert again.upstream.instance == 'b'
 
@@ -196,9 +196,9 @@
     table = _Table(_make('one'))
     started = table.start(0)
     assert started is not None
-    ending = table.table.end(started.request_id, AttemptResult.not_sent, 0)
-    assert table.table.start(table.state, ending.waiting, 0) is None
-    assert table.table.start(table.state, ending.waiting, 1)
+    outcome = table.table.end(started.request_id, AttemptResult.not_sent, 0)
+    assert table.table.start(table.state, outcome.request, 0) is None
+    assert table.table.start(table.state, outcome.request, 1)
 
 
 def test_wave_of_failures_is_not_multiplied() -> None:
@@ -212,8 +212,8 @@
     for _ in range(100):
         started = table.start(0, is_repeatable=True)
         assert started is not None
-        ending = table.table.end(started.request_id, AttemptResult.broken, 0)
-        retries += ending.next_step is NextStep.retry
+        outcome = table.table.end(started.request_id, AttemptResult.broken, 0)
+        retries += outcome.next_step is NextStep.retry
     assert retries == 10
 
 
