--- a/tests/dispatch/test_upkeep.py
+++ b/tests/dispatch/test_upkeep.py
@@ -1,7 +1,7 @@
 """Waves of maintenance, and what lasting tasks may miss."""
 
 from builders.workers import UPKEEP_S, ModelFleet, make_step, make_worker
-from sardinemast.jobs import TaskKey, MaintenanceStatus, WaveItem
+from sardinemast.jobs import MaintenanceStatus, TaskKey, WaveItem
 from sardinemast.jobs.commands import (
     CancelJob,
     DeclareWave,
