--- a/tests/dispatch/test_dispatch_fuzz.py
+++ b/tests/dispatch/test_dispatch_fuzz.py
@@ -1,4 +1,4 @@
-"""Random histories of leaders, workers and orders against simple rules."""
+"""Check invariants over random sequences of elections and failures."""
 
 import pytest
 from hypothesis import settings
@@ -15,8 +15,8 @@
 _WORKERS = 3
 
 
-class Dispatching(ElectionRules):
-    """Do to leaders and workers what may happen to them, in any order."""
+class DispatchMachine(ElectionRules):
+    """Apply random failures and jobs to leaders and workers."""
 
     def __init__(self) -> None:
         super().__init__(_WORKERS)
@@ -24,22 +24,22 @@
 
     @initialize()
     def limit_team(self) -> None:
-        """Let the team run five cores of the twelve."""
+        """Limit the team to five of the twelve cores."""
         self.fleet.commit(PutCatalog(make_catalog(2, cap=_CAP), b'{}'))
 
     @rule(widths=st.lists(st.integers(1, 4), min_size=1, max_size=3))
     def submit(self, widths: list[int]) -> None:
-        """Submit a job whose steps follow each other."""
+        """Submit a job whose steps depend on each other."""
         self.jobs += 1
         steps = [
-            make_step(width, depends_on=(place - 1,) if place else ())
-            for place, width in enumerate(widths)
+            make_step(width, depends_on=(index - 1,) if index else ())
+            for index, width in enumerate(widths)
         ]
         self.fleet.submit(f'job-{self.jobs}', *steps)
 
     @rule(width=st.integers(2, 4))
     def submit_gang(self, width: int) -> None:
-        """Submit a job whose tasks work only together."""
+        """Submit a job with a gang."""
         self.jobs += 1
         self.fleet.submit(f'job-{self.jobs}', make_step(width, is_gang=True))
 
@@ -52,37 +52,37 @@
         number=st.integers(0, _WORKERS - 1),
         result=st.sampled_from(['done', 'done', 'failed', 'lapsed']),
     )
-    def end(self, number: int, result: str) -> None:
-        """Let a run end at a worker."""
+    def end_run(self, number: int, result: str) -> None:
+        """End a run on a worker."""
         model = self.fleet.workers[f'w-{number}']
         if model.running:
             task = next(iter(model.running))
             model.end(task, result)
 
     @rule(number=st.integers(0, _WORKERS - 1))
-    def darken(self, number: int) -> None:
-        """Cut a worker off, or let it be reached again."""
+    def toggle_connection(self, number: int) -> None:
+        """Disconnect a worker, or reconnect it."""
         model = self.fleet.workers[f'w-{number}']
         model.is_dark = not model.is_dark
 
     @rule(number=st.integers(0, _WORKERS - 1))
-    def mute(self, number: int) -> None:
-        """Have a worker's answers lost, or let them come again."""
+    def toggle_answers(self, number: int) -> None:
+        """Lose the answers of a worker, or stop losing them."""
         model = self.fleet.workers[f'w-{number}']
         model.is_mute = not model.is_mute
 
     @rule(number=st.integers(0, _WORKERS - 1))
-    def reboot(self, number: int) -> None:
-        """Start a worker anew under its name; it knows nothing of before."""
+    def restart_worker(self, number: int) -> None:
+        """Restart a worker under its name, without its state."""
         self.boots += 1
         self.fleet.add_worker(make_worker(number, boot_ms=self.boots))
 
-    @rule(place=st.integers(0, 50))
-    def carry_out_late(self, place: int) -> None:
-        """Have an order that got no answer carried out now."""
+    @rule(index=st.integers(0, 50))
+    def execute_late_order(self, index: int) -> None:
+        """Execute an unanswered order late."""
         late = self.fleet.late
         if late:
-            model, order = late.pop(place % len(late))
+            model, order = late.pop(index % len(late))
             if model is self.fleet.workers[model.worker.name]:
                 model.carry_out(order, self.fleet.now_s)
 
@@ -92,14 +92,14 @@
         self.fleet.run(seconds)
 
     @invariant()
-    def stays_in_limit(self) -> None:
-        """Check that what the log has running stays within the limit."""
+    def respects_team_limit(self) -> None:
+        """Check that recorded runs stay within the team's limit."""
         used = self.fleet.state.usage.by_team.get(TEAM, ZERO_SIZE)
         assert used.millicores <= _CAP
 
     @invariant()
-    def counts_room_right(self) -> None:
-        """Check that the room taken is that of the runs."""
+    def accounts_capacity(self) -> None:
+        """Check that the used capacity equals that of the recorded runs."""
         state = self.fleet.state
         runs = sum(len(one) for one in state.runs.values())
         used = state.usage.by_team.get(TEAM, ZERO_SIZE)
@@ -108,8 +108,8 @@
             assert state.get_free(worker).millicores >= 0
 
     @invariant()
-    def follows_order(self) -> None:
-        """Check that no task starts before the steps that it needs."""
+    def respects_dependencies(self) -> None:
+        """Check that no task starts before its dependencies are done."""
         for start in self.fleet.started:
             job = self.fleet.state.jobs[start.task.job]
             if start.task.step:
@@ -117,7 +117,7 @@
                 assert before.is_done
 
     def teardown(self) -> None:
-        """Let everything be well and every run end: no job may be left."""
+        """Check that all jobs end once all workers are healthy."""
         fleet = self.fleet
         fleet.is_held = False
         fleet.commit_held()
@@ -135,8 +135,8 @@
         assert not fleet.state.live
 
 
-TestDispatching = Dispatching.TestCase
-TestDispatching.settings = settings(
+TestDispatch = DispatchMachine.TestCase
+TestDispatch.settings = settings(
     stateful_step_count=40,
     max_examples=150,
     deadline=None,
--- a/tests/dispatch/test_leases.py
+++ b/tests/dispatch/test_leases.py
@@ -1,4 +1,4 @@
-"""Runs on workers that fall silent, and orders that come late."""
+"""Test leases, fencing of late orders, and changes of leader."""
 
 from builders.workers import POOL, ModelFleet, make_step, make_worker
 from sardinemast.dispatch import DispatchSettings, OrderOutcome
@@ -16,12 +16,8 @@
     return fleet.get_runs(TASK)[0]
 
 
-def test_task_of_a_silent_worker_starts_elsewhere_after_its_lease() -> None:
-    """A worker falls silent for good while it runs a task.
-
-    The worker may be cut off and work on until its lease ends. A second run
-    before that would charge a family twice; none at all would lose the work.
-    """
+def test_task_restarts_elsewhere_only_after_lease_expires() -> None:
+    """Never run a task twice while a silent worker may still run it."""
     fleet = ModelFleet()
     worker = _start_one(fleet)
     fleet.workers[worker].is_dark = True
@@ -32,12 +28,8 @@
     assert fleet.get_runs(TASK) != [worker]
 
 
-def test_unanswered_looks_give_no_more_time() -> None:
-    """The leader goes on asking a worker that does not answer.
-
-    If each question prolonged the lease, the task would be away for as long
-    as the leader asks, and its users would wait for ever.
-    """
+def test_unanswered_polls_do_not_extend_lease() -> None:
+    """Let the lease expire although the leader keeps polling the worker."""
     fleet = ModelFleet()
     worker = _start_one(fleet)
     fleet.workers[worker].is_dark = True
@@ -45,11 +37,10 @@
     assert fleet.get_runs(TASK) not in ([], [worker])
 
 
-def test_slow_clock_of_a_worker_is_allowed_for() -> None:
-    """A worker's clock runs two in a hundred slow, and its answers are lost.
+def test_lease_allows_for_slow_worker_clock() -> None:
+    """Never run a task twice when a worker's clock is 2 % slow.
 
-    Its lease lasts longer in true time. The task must not start elsewhere
-    while the worker still trusts its own clock.
+    Its lease lasts longer in true time, and its answers are lost.
     """
     fleet = ModelFleet(worker_count=1)
     fleet.add_worker(make_worker(1), rate=0.98)
@@ -66,12 +57,8 @@
             assert len(fleet.get_runs(task)) <= 1
 
 
-def test_start_that_is_carried_out_late_does_not_run_beside_another() -> None:
-    """A start gets no answer and is carried out seconds later.
-
-    The worker was healthy all the time, so the task has long been started
-    again. Carried out then, it would run twice at once.
-    """
+def test_worker_refuses_late_start() -> None:
+    """Refuse a delayed start whose task has been restarted elsewhere."""
     fleet = ModelFleet()
     fleet.run(0.5)
     for model in fleet.workers.values():
@@ -88,11 +75,10 @@
     assert len(fleet.get_runs(TASK)) == 1
 
 
-def test_end_is_forgotten_by_the_worker_only_once_it_is_recorded() -> None:
-    """The leader dies between hearing of an end and recording it.
+def test_end_is_acknowledged_only_after_it_is_recorded() -> None:
+    """Run a finished task only once when the leader fails before recording it.
 
-    A worker that was told to forget the end could not tell the next leader,
-    and a task that is done would run again.
+    The worker must keep the end until it is recorded.
     """
     fleet = ModelFleet()
     worker = _start_one(fleet)
@@ -111,11 +97,10 @@
     assert len(starts) == 1
 
 
-def test_ends_told_while_others_are_recorded_are_kept() -> None:
-    """Two workers tell of ends, the second while the first is recorded.
+def test_ends_reported_during_a_proposal_are_not_acknowledged() -> None:
+    """Keep an end that is reported while another one is being recorded.
 
-    Acknowledged with the first one's record, the second end would be lost
-    with the leader, and its task would run again after it was done.
+    Acknowledged too early, it would be lost with the leader.
     """
     fleet = ModelFleet()
     fleet.run(0.5)
@@ -133,12 +118,8 @@
     assert not first.ends
 
 
-def test_new_worker_is_not_forgotten_between_word_and_look() -> None:
-    """A worker announces itself late in a term and has not been looked at.
-
-    Forgotten again at once, it would come and go with each of its words, and
-    whatever was started there would be lost each time.
-    """
+def test_new_worker_is_not_removed_before_first_poll() -> None:
+    """Keep a worker that registers late in a term and has not answered yet."""
     fleet = ModelFleet(worker_count=1)
     fleet.run(40)
     fleet.add_worker(make_worker(7))
@@ -147,12 +128,8 @@
     assert fleet.state.workers['w-7'].pool == POOL
 
 
-def test_new_leader_takes_over_what_runs() -> None:
-    """The leader dies while tasks run.
-
-    Their workers go on. The next leader must find them, or the tasks would
-    run a second time beside the first.
-    """
+def test_new_leader_adopts_running_tasks() -> None:
+    """Keep a run going when the leader fails, instead of starting another."""
     fleet = ModelFleet()
     worker = _start_one(fleet)
     fleet.run(1)
@@ -162,12 +139,8 @@
     assert len(fleet.started) == 1
 
 
-def test_start_recorded_but_not_sent_is_made_up_for() -> None:
-    """The leader dies after a start is in the log and before it is sent.
-
-    The log says that the task runs, and nothing runs anywhere. The next
-    leader must notice, or the job would never end.
-    """
+def test_new_leader_restarts_run_that_was_never_sent() -> None:
+    """Restart a run that the failed leader recorded but never sent."""
     fleet = ModelFleet()
     fleet.run(0.5)
     fleet.is_held = True
@@ -183,11 +156,8 @@
     assert len(fleet.get_runs(TASK)) == 1
 
 
-def test_drained_worker_gets_nothing_new() -> None:
-    """A worker says that it drains, and ends soon after.
-
-    A booking that is started there then would end with the worker.
-    """
+def test_draining_worker_gets_no_new_runs() -> None:
+    """Start no run on a worker that is about to shut down."""
     fleet = ModelFleet()
     fleet.run(0.5)
     fleet.commit_held()
--- a/tests/dispatch/test_maintenance_fuzz.py
+++ b/tests/dispatch/test_maintenance_fuzz.py
@@ -1,4 +1,4 @@
-"""Random histories of maintenance, moves and leaders against simple rules."""
+"""Check invariants of maintenance and moves over random sequences."""
 
 from itertools import pairwise
 
@@ -15,14 +15,14 @@
 
 pytestmark = pytest.mark.fuzz
 _WORKERS = 4
-_LASTING = 4
+_TASK_COUNT = 4
 _FAR_MS = 10**9
-# Where nothing checks fences, two holders must not take turns within this.
-_APART_S = 3.0
+# Minimum time between the orders of two leaders for one instance.
+_LEADER_GAP_S = 3.0
 
 
-class Maintaining(ElectionRules):
-    """Empty, maintain and move instances while leaders come and go."""
+class MaintenanceMachine(ElectionRules):
+    """Drain, maintain and move instances across changes of leader."""
 
     def __init__(self) -> None:
         super().__init__(_WORKERS)
@@ -32,38 +32,38 @@
         self.waves = 0
 
     @initialize()
-    def start_lasting(self) -> None:
-        """Run a step that may miss one of its four tasks."""
-        step = make_step(_LASTING, is_long_running=True, max_unavailable=1)
+    def start_long_running_step(self) -> None:
+        """Run a long-running step that allows one unavailable task of four."""
+        step = make_step(_TASK_COUNT, is_long_running=True, max_unavailable=1)
         self.fleet.run(1)
         self.fleet.submit('watch', step)
         self.fleet.run(2)
 
     @rule(width=st.integers(4, 30))
     def submit(self, width: int) -> None:
-        """Submit a job that may need more than the pool has."""
+        """Submit a job that may exceed the capacity of the pool."""
         self.jobs += 1
         self.fleet.submit(f'job-{self.jobs}', make_step(width))
 
     @rule()
-    def finish(self) -> None:
-        """Let all tasks end that end by themselves."""
+    def finish_tasks(self) -> None:
+        """End all tasks that are not long-running."""
         for model in self.fleet.workers.values():
             for task in tuple(model.running):
                 if task.job != 'watch':
                     model.end(task, 'done')
 
     @rule(cap=st.integers(1, 2))
-    def declare(self, cap: int) -> None:
-        """Have all instances maintained."""
+    def declare_wave(self, cap: int) -> None:
+        """Declare a wave of all instances."""
         self.waves += 1
         names = tuple(f'm-{number}' for number in range(_WORKERS))
         wave = DeclareWave(self.waves, names, cap, self.fleet.now_ms, _FAR_MS)
         self.fleet.commit(wave)
 
     @rule(number=st.integers(0, _WORKERS - 1))
-    def come_back(self, number: int) -> None:
-        """Let an instance that was ordered down have its next worker."""
+    def return_instance(self, number: int) -> None:
+        """Register the next worker of an instance that was ordered down."""
         instance = f'm-{number}'
         if instance in self.fleet.instances.upkeeps:
             self.boots += 1
@@ -74,7 +74,7 @@
 
     @rule(number=st.integers(0, _WORKERS - 1))
     def drain(self, number: int) -> None:
-        """Have a worker say that it drains."""
+        """Announce that a worker is draining."""
         for model in self._find(f'm-{number}'):
             model.worker = model.worker._replace(is_draining=True)
             self.fleet.commit(RegisterWorker(model.worker))
@@ -83,14 +83,14 @@
         number=st.integers(0, _WORKERS - 1),
         percent=st.sampled_from([5, 40, 100]),
     )
-    def change_pace(self, number: int, percent: int) -> None:
-        """Have a worker's tasks crawl, start up or be at work."""
+    def change_progress(self, number: int, percent: int) -> None:
+        """Set the progress that the runs of a worker report."""
         for model in self._find(f'm-{number}'):
             model.percent = percent
 
     @rule(number=st.integers(0, _WORKERS - 1))
     def crash_task(self, number: int) -> None:
-        """Let a task fail at a worker."""
+        """Fail a task on a worker."""
         for model in self._find(f'm-{number}'):
             for task in tuple(model.running)[:1]:
                 model.end(task, 'failed')
@@ -101,20 +101,20 @@
         self.fleet.run(seconds)
 
     @invariant()
-    def keeps_leaders_apart(self) -> None:
-        """Check that no two leaders order an instance one after the other."""
+    def separates_leaders(self) -> None:
+        """Check the time between orders of two leaders for an instance."""
         by_instance: dict[str, list[OrderSeen]] = {}
         for seen in self.fleet.instances.seen:
             by_instance.setdefault(seen.instance, []).append(seen)
         for orders in by_instance.values():
             for before, after in pairwise(orders):
                 assert after.token >= before.token
-                is_apart = after.at_s >= before.at_s + _APART_S
-                assert is_apart or after.token == before.token
+                is_separated = after.at_s >= before.at_s + _LEADER_GAP_S
+                assert is_separated or after.token == before.token
 
     @invariant()
     def stops_one_at_a_time(self) -> None:
-        """Check that no order is on its way to stop two lasting tasks."""
+        """Check that at most one long-running task is being stopped."""
         stopping: set[TaskKey] = set()
         for model in self.fleet.workers.values():
             stopping.update(
@@ -130,8 +130,8 @@
         ]
 
 
-TestMaintaining = Maintaining.TestCase
-TestMaintaining.settings = settings(
+TestMaintenance = MaintenanceMachine.TestCase
+TestMaintenance.settings = settings(
     stateful_step_count=40,
     max_examples=120,
     deadline=None,
--- a/tests/dispatch/test_moves.py
+++ b/tests/dispatch/test_moves.py
@@ -1,4 +1,4 @@
-"""Instances that change their pool right after a change of leader."""
+"""Test moves of instances between pools, also after an election."""
 
 from builders.workers import POOL, STANDBY, ModelFleet, make_step
 from sardinemast.dispatch import DispatchSettings
@@ -13,79 +13,67 @@
 _SETTLE_S = DispatchSettings().settle_s
 
 
-def _make_full_fleet() -> ModelFleet:
-    """Give a pool whose work waits, and a leader that is elected just now."""
+def _make_fleet() -> ModelFleet:
+    """Return a fleet with one standby instance and a settled leader."""
     fleet = ModelFleet(2)
     fleet.instances.standby = {'spare'}
     fleet.run(10)
     return fleet
 
 
-def _elect_and_fill(fleet: ModelFleet) -> None:
+def _elect_and_submit(fleet: ModelFleet) -> None:
     fleet.elect()
     fleet.submit('peak', make_step(40))
 
 
-def test_new_leader_brings_in_an_instance_that_nobody_ordered_lately() -> None:
-    """The leader is lost in the middle of a peak, and a spare one is free.
-
-    Held back for the sake of an order that the old leader cannot have sent,
-    it came four seconds later, and a whole peak missed its targets.
-    """
-    fleet = _make_full_fleet()
-    _elect_and_fill(fleet)
+def test_new_leader_activates_instance_without_recent_order() -> None:
+    """Use a standby instance at once if the log excludes earlier orders."""
+    fleet = _make_fleet()
+    _elect_and_submit(fleet)
     fleet.run(1)
     assert [(one.instance, one.pool) for one in fleet.instances.moves] == [
         ('spare', POOL),
     ]
 
 
-def test_new_leader_waits_with_an_instance_named_in_the_log_just_now() -> None:
-    """The old leader may have sent its order right before it was lost.
+def test_new_leader_waits_after_recent_order() -> None:
+    """Wait until an order of the failed leader can no longer arrive.
 
-    Nothing checks fences there. Two orders that cross would end what the
-    instance has just been given.
+    Instances do not check fencing tokens, so orders of two leaders may cross.
     """
-    fleet = _make_full_fleet()
+    fleet = _make_fleet()
     fleet.commit(NoteMove('spare', POOL))
-    named_s = fleet.now_s
+    ordered_s = fleet.now_s
     fleet.run(0.5)
-    _elect_and_fill(fleet)
+    _elect_and_submit(fleet)
     fleet.run(_SETTLE_S - 1)
     assert not fleet.instances.moves
     fleet.run(2)
     assert fleet.instances.moves
-    assert fleet.now_s > named_s + _SETTLE_S
+    assert fleet.now_s > ordered_s + _SETTLE_S
 
 
-def test_new_leader_waits_with_an_instance_whose_upkeep_is_ordered() -> None:
-    """An order for maintenance has no answer and is repeated each second.
-
-    The log named it long ago, and the old leader may have sent it just now.
-    """
-    fleet = _make_full_fleet()
+def test_new_leader_waits_while_maintenance_is_ordered() -> None:
+    """Wait although the entry is old, since the order is being repeated."""
+    fleet = _make_fleet()
     fleet.commit(DeclareWave(1, ('spare',), 1, fleet.now_ms, 10**9))
     fleet.instances.refused.add('spare')
     fleet.commit(NoteUpkeep(1, 'spare', MaintenanceStatus.ordered))
     fleet.run(6)
-    _elect_and_fill(fleet)
+    _elect_and_submit(fleet)
     fleet.run(_SETTLE_S - 0.5)
     assert not fleet.instances.moves
 
 
 def _elect_with_snapshot(fleet: ModelFleet) -> None:
-    """Elect a process that has not seen when the log named which instance."""
+    """Elect a process that does not know when orders were recorded."""
     fleet.follower.reset_order_times(fleet.now_s)
-    _elect_and_fill(fleet)
+    _elect_and_submit(fleet)
 
 
-def test_leader_that_took_a_snapshot_waits_with_an_instance() -> None:
-    """A process was behind and took a snapshot right before it leads.
-
-    It has not seen when the log named the instance. By the date in the log it
-    was seconds ago, and the clocks of two processes may be off by as much.
-    """
-    fleet = _make_full_fleet()
+def test_leader_with_snapshot_waits_after_recent_order() -> None:
+    """Allow for the clock error when only the recorded time is known."""
+    fleet = _make_fleet()
     fleet.commit(NoteMove('spare', STANDBY, fleet.now_ms))
     fleet.run(_SETTLE_S)
     _elect_with_snapshot(fleet)
@@ -95,9 +83,9 @@
     assert fleet.instances.moves
 
 
-def test_leader_waits_with_an_instance_that_an_older_version_named() -> None:
-    """The entry that names the instance has no date in it."""
-    fleet = _make_full_fleet()
+def test_leader_waits_after_order_without_time() -> None:
+    """Treat an order without a recorded time as recent."""
+    fleet = _make_fleet()
     fleet.commit(NoteMove('spare', STANDBY))
     fleet.run(20)
     _elect_with_snapshot(fleet)
@@ -105,9 +93,9 @@
     assert not fleet.instances.moves
 
 
-def test_leader_waits_with_an_instance_that_was_named_in_the_future() -> None:
-    """A clock was ahead when the log took the entry, or was set back since."""
-    fleet = _make_full_fleet()
+def test_leader_waits_after_order_with_future_time() -> None:
+    """Treat an order as recent if a clock was ahead or has been set back."""
+    fleet = _make_fleet()
     fleet.commit(NoteMove('spare', STANDBY, fleet.now_ms + 60_000))
     fleet.run(20)
     _elect_with_snapshot(fleet)
@@ -115,14 +103,9 @@
     assert not fleet.instances.moves
 
 
-def test_instance_that_was_off_for_long_comes_after_a_power_loss() -> None:
-    """All control processes lose power in the middle of a peak.
-
-    None of them has seen when the log named which instance. Held back as if
-    it had been a moment ago, what stands by came to the full pool six seconds
-    later, and the jobs of the whole peak were late.
-    """
-    fleet = _make_full_fleet()
+def test_idle_instance_is_activated_after_full_restart() -> None:
+    """Use an instance that was ordered long ago after all processes restart."""
+    fleet = _make_fleet()
     fleet.commit(NoteMove('spare', STANDBY, fleet.now_ms))
     fleet.run(20)
     _elect_with_snapshot(fleet)
@@ -130,20 +113,16 @@
     assert [one.instance for one in fleet.instances.moves] == ['spare']
 
 
-def test_snapshot_of_an_older_version_has_no_dates() -> None:
-    """The snapshot tells which instances were named, and not when."""
+def test_old_snapshot_has_no_order_times() -> None:
+    """Load the instances of a snapshot that has no order times."""
     image = EMPTY_IMAGE._replace(home_pools={'m-1': POOL, 'spare': ''})
     assert load_state(image).last_order_ms == {'m-1': 0, 'spare': 0}
     dated = image._replace(last_order_ms={'spare': 7})
     assert dump_state(load_state(dated)).last_order_ms == {'spare': 7}
 
 
-def test_large_pool_gets_what_its_peak_lacks_in_one_go() -> None:
-    """A pool of 40 workers peaks, and asks for 1.7 times what it holds.
-
-    The pattern: queues that peak in turns of 4.5 s, in a fleet of 180. Eight
-    instances at a time, enough for pools of eight, took two turns to come.
-    """
+def test_large_pool_gets_its_whole_shortfall_at_once() -> None:
+    """Let the number of concurrent moves grow with the size of the pool."""
     fleet = ModelFleet(40)
     fleet.instances.standby = {f'spare-{number}' for number in range(30)}
     fleet.run(10)
@@ -152,26 +131,18 @@
     assert len(fleet.instances.moves) == 30
 
 
-def test_leader_asks_again_for_a_list_that_it_did_not_get() -> None:
-    """The answer to a new leader's question for all instances is lost.
-
-    It did not know what stands by, and brought nothing into two peaks until
-    the next list fifteen seconds later.
-    """
-    fleet = _make_full_fleet()
+def test_lost_instance_list_is_requested_again() -> None:
+    """Repeat a request whose answer is lost before the regular interval."""
+    fleet = _make_fleet()
     fleet.instances.lost_lists = 2
-    _elect_and_fill(fleet)
+    _elect_and_submit(fleet)
     fleet.run(4)
     assert [one.instance for one in fleet.instances.moves] == ['spare']
 
 
-def test_instance_that_is_due_for_maintenance_comes_last() -> None:
-    """A peak needs one of two instances, and one of them is due in a wave.
-
-    Brought in, it was taken out of the pool again in the middle of the peak,
-    or the wave had to wait for it and was late.
-    """
-    fleet = _make_full_fleet()
+def test_instance_due_for_maintenance_is_activated_last() -> None:
+    """Prefer instances that will not leave the pool again for maintenance."""
+    fleet = _make_fleet()
     fleet.instances.standby = {'due', 'spare'}
     fleet.run(16)
     fleet.commit(DeclareWave(1, ('due',), 0, fleet.now_ms, fleet.now_ms))
--- a/tests/dispatch/test_planner_load.py
+++ b/tests/dispatch/test_planner_load.py
@@ -1,9 +1,4 @@
-"""Plans while far more tasks wait than a full pool has room for.
-
-The pattern: a queue asks for five times its mean for 4.5 s, which is 1.7 times
-what its pool of 45 workers holds, so that some 200 steps of eight wide tasks
-wait at the end of the peak (the sizes of `term-enrol`).
-"""
+"""Test planning when far more tasks wait than a pool has capacity for."""
 
 from collections import Counter
 
@@ -50,12 +45,8 @@
     ).choose()
 
 
-def test_lasting_tasks_of_all_jobs_stand_on_few_workers() -> None:
-    """Four jobs with five small tasks each that run all day.
-
-    Spread one a worker they kept twenty workers on, for work that fits on
-    two, since a worker that runs something can't be switched off.
-    """
+def test_long_running_tasks_are_packed() -> None:
+    """Pack long-running tasks, so that other workers can be switched off."""
     state = _make_state()
     step = make_step(
         5, size=Size(6_000, 1), is_long_running=True, max_unavailable=1
@@ -69,13 +60,12 @@
     assert len({start.worker for start in starts}) == 2
 
 
-def test_full_pool_is_looked_through_once_a_plan(
+def test_full_pool_is_searched_once_per_plan(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each end in the peak leads to a plan over all that waits.
+    """Compare only the first of many waiting steps with all full workers.
 
-    When every waiting step was held against every worker, a plan took 12 ms,
-    ends were known late, and parents' bookings with them.
+    Every end of a run leads to a new plan, so plans must be cheap.
     """
     state = _make_state()
     for number in range(_STEPS):
@@ -93,22 +83,19 @@
     assert calls['fits'] < 2 * (_WORKERS + _STEPS)
 
 
-def test_small_task_starts_behind_one_that_is_too_large() -> None:
-    """What is left of a worker is too little for the first in the line."""
+def test_small_task_starts_after_one_that_does_not_fit() -> None:
+    """Start a task that fits although an earlier one does not."""
     state = _make_state(1)
     _submit(state, 'wide', 5, _WIDE)
     _submit(state, 'small', 1, Size(9000, 1))
     starts = [str(start.task) for start in _plan(state)]
-    assert starts == [f'wide.0.0.{place}' for place in range(4)] + [
+    assert starts == [f'wide.0.0.{index}' for index in range(4)] + [
         'small.0.0.0'
     ]
 
 
-def test_gang_that_does_not_fit_hides_no_room() -> None:
-    """Half of a gang takes all room in a trial, and gives it back.
-
-    A task that came later would wait beside empty workers.
-    """
+def test_gang_that_does_not_fit_blocks_no_capacity() -> None:
+    """Start another task after the attempt to place a gang is rolled back."""
     state = _make_state(1)
     step = make_step(9, size=_WIDE, is_gang=True)
     request = JobRequest('', (step,))
--- a/tests/dispatch/test_stragglers.py
+++ b/tests/dispatch/test_stragglers.py
@@ -1,9 +1,4 @@
-"""Workers that are slow, or whose tasks stand still.
-
-The pattern: tasks of 0.6 s on workers of four cores; one of them works at a
-sixth of its speed or not at all, as `srv_slow` and hanging tasks do to the
-users' workers for five to eight seconds.
-"""
+"""Test the detection of slow workers and stuck runs."""
 
 from builders.model_workers import ModelWorker
 from builders.workers import ModelFleet, make_step
@@ -19,65 +14,55 @@
     return fleet.workers[fleet.get_runs(TASK)[0]]
 
 
-def test_task_that_stands_still_starts_elsewhere() -> None:
-    """A worker's tasks stand still while it says that all is well.
-
-    A parent's booking has one task there, and waits until the worker works
-    again, while others have room.
-    """
+def test_stuck_task_restarts_elsewhere() -> None:
+    """Restart a stuck run although its worker reports to be healthy."""
     fleet = ModelFleet()
-    stuck = _start_two(fleet)
-    stuck.percent = 3
+    stuck_worker = _start_two(fleet)
+    stuck_worker.percent = 3
     fleet.run(3.5)
-    places = fleet.get_runs(TASK)
-    assert len(places) == 1
-    assert places != [stuck.worker.name]
+    workers = fleet.get_runs(TASK)
+    assert len(workers) == 1
+    assert workers != [stuck_worker.worker.name]
 
 
-def test_worker_that_crawls_gets_nothing_new_for_a_while() -> None:
-    """New tasks find room at the slow worker first, since it is never done."""
+def test_slow_worker_gets_no_new_runs() -> None:
+    """Start new tasks elsewhere for a while."""
     fleet = ModelFleet()
-    slow = _start_two(fleet)
-    slow.percent = 10
+    slow_worker = _start_two(fleet)
+    slow_worker.percent = 10
     fleet.run(3)
     known = len(fleet.started)
     fleet.submit('next', make_step(3, estimate_ms=600))
     fleet.run(0.5)
-    places = {one.worker.name for one in fleet.started[known:]}
-    assert places
-    assert slow.worker.name not in places
+    workers = {one.worker.name for one in fleet.started[known:]}
+    assert workers
+    assert slow_worker.worker.name not in workers
 
 
 def _start_long(fleet: ModelFleet, *jobs: str) -> ModelWorker:
-    """Start one task of 3 s a job; they stand packed on one worker."""
+    """Start two tasks of 3 s, split over the jobs, on one worker."""
     fleet.run(1)
     for job in jobs:
         fleet.submit(job, make_step(2 // len(jobs), estimate_ms=3000))
     fleet.run(0.2)
-    places = {one.worker.name for one in fleet.started}
-    assert len(places) == 1
-    return fleet.workers[places.pop()]
-
+    workers = {one.worker.name for one in fleet.started}
+    assert len(workers) == 1
+    return fleet.workers[workers.pop()]
 
-def test_worker_that_crawls_is_known_before_its_runs_are_overdue() -> None:
-    """Two claims' long tasks are at two hundredths after more than a second.
 
-    Until they were overdue 7.8 s went by, and both claims were late.
-    """
+def test_slow_worker_is_detected_before_runs_are_overdue() -> None:
+    """Detect by its progress that a run will take far too long."""
     fleet = ModelFleet()
-    slow = _start_long(fleet, 'one', 'two')
-    slow.percent = 2
+    slow_worker = _start_long(fleet, 'one', 'two')
+    slow_worker.percent = 2
     fleet.run(2.5)
     started = fleet.started[2:]
     assert len(started) == 2
-    assert all(one.worker.name != slow.worker.name for one in started)
-
+    assert all(one.worker.name != slow_worker.worker.name for one in started)
 
-def test_step_declared_far_too_short_proves_no_slow_worker() -> None:
-    """Both tasks of one step take ten times what their caller declares.
 
-    Stopped and started elsewhere, they would take as long there.
-    """
+def test_step_with_short_estimate_does_not_indicate_slow_worker() -> None:
+    """Blame the estimate and not the worker if one step is slow."""
     fleet = ModelFleet()
     worker = _start_long(fleet, 'one')
     worker.percent = 2
@@ -85,11 +70,8 @@
     assert len(fleet.started) == 2
 
 
-def test_task_that_is_nearly_done_is_left_alone() -> None:
-    """A task takes longer than declared, as many do, and is nearly done.
-
-    Stopped now, it would take its whole time once more.
-    """
+def test_nearly_finished_task_is_not_restarted() -> None:
+    """Leave a slow run alone if it ends sooner than a restarted one."""
     fleet = ModelFleet()
     worker = _start_two(fleet)
     worker.percent = 85
@@ -97,11 +79,8 @@
     assert len(fleet.started) == 2
 
 
-def test_one_long_task_is_not_taken_for_a_slow_worker() -> None:
-    """A caller declares a fifth of what its task takes; the other is done.
-
-    Stopped halfway, it is later than if it had been left alone.
-    """
+def test_single_slow_task_does_not_indicate_slow_worker() -> None:
+    """Blame the estimate and not the worker if only one run is slow."""
     fleet = ModelFleet()
     worker = _start_two(fleet)
     _end_first(worker)
@@ -110,8 +89,8 @@
     assert len(fleet.started) == 2
 
 
-def test_task_without_room_elsewhere_goes_on() -> None:
-    """All other workers are full; a slow run is better than none."""
+def test_slow_task_continues_without_capacity_elsewhere() -> None:
+    """Keep a slow run while all other workers are full."""
     fleet = ModelFleet(1)
     worker = _start_two(fleet)
     worker.percent = 10
@@ -120,8 +99,8 @@
     assert len(fleet.started) == 2
 
 
-def test_task_that_crawls_everywhere_is_not_moved_for_ever() -> None:
-    """A task takes ten times what its caller declared, on every worker."""
+def test_task_slow_on_all_workers_is_not_restarted_forever() -> None:
+    """Stop restarting a task that is slow on every worker."""
     fleet = ModelFleet()
     _start_two(fleet)
     for model in fleet.workers.values():
@@ -134,11 +113,8 @@
     model.end(next(iter(model.running)), 'done')
 
 
-def test_queue_whose_tasks_all_take_long_learns_it() -> None:
-    """A queue declares a third of what its tasks take.
-
-    Taken for stragglers, its tasks would be stopped and started in turn.
-    """
+def test_queue_durations_are_learned() -> None:
+    """Learn that the estimates of a queue are too short."""
     fleet = ModelFleet()
     fleet.run(1)
     for model in fleet.workers.values():
@@ -159,20 +135,19 @@
     assert len(fleet.started) == known
 
 
-def test_filler_that_stands_still_starts_where_processors_are_full() -> None:
-    """A filler hangs while other tasks take all processors elsewhere.
+def test_stuck_best_effort_task_restarts_where_cpus_are_used() -> None:
+    """Restart a stuck best-effort task on a worker whose CPUs are in use.
 
-    Its own are not counted, so that it has room there; judged by its whole
-    size it would hang until the worker is well again.
+    Best-effort tasks reserve no CPU, so they fit there.
     """
     fleet = ModelFleet()
     fleet.run(1)
     fleet.submit('job', make_step(2, estimate_ms=600, is_best_effort=True))
     fleet.run(0.2)
-    stuck = fleet.workers[fleet.get_runs(TASK)[0]]
-    stuck.percent = 3
+    stuck_worker = fleet.workers[fleet.get_runs(TASK)[0]]
+    stuck_worker.percent = 3
     fleet.submit('busy', make_step(8, estimate_ms=9000))
     fleet.run(3.5)
-    places = fleet.get_runs(TASK)
-    assert len(places) == 1
-    assert places != [stuck.worker.name]
+    workers = fleet.get_runs(TASK)
+    assert len(workers) == 1
+    assert workers != [stuck_worker.worker.name]
--- a/tests/dispatch/test_tickets.py
+++ b/tests/dispatch/test_tickets.py
@@ -1,4 +1,4 @@
-"""Queues whose outside policy allows only some workers."""
+"""Test queues whose external policy allows only some workers."""
 
 from builders.workers import ModelFleet, make_catalog, make_step, make_worker
 from sardinemast.jobs import Advice, TaskKey
@@ -16,25 +16,25 @@
     return fleet
 
 
-def test_tasks_start_only_where_the_policy_allows_it() -> None:
-    """One worker of three may run the step; the others would refuse it.
+def test_tasks_start_only_with_ticket() -> None:
+    """Start tasks only on workers that have a ticket.
 
-    Sent without a ticket, each start is refused, and the job never begins.
+    Workers refuse starts without one.
     """
     fleet = _make_fleet()
     fleet.policy.allowed = {'w-1'}
     fleet.submit('job', make_step(3))
     fleet.run(2)
-    places = [(one.worker.name, one.ticket) for one in fleet.started]
-    assert set(places) == {('w-1', 'job.0.0@w-1')}
-    assert len(places) == 3
+    starts = [(one.worker.name, one.ticket) for one in fleet.started]
+    assert set(starts) == {('w-1', 'job.0.0@w-1')}
+    assert len(starts) == 3
     assert len(fleet.policy.questions) == 1
 
 
-def test_policy_is_asked_about_the_same_worker_only_once() -> None:
-    """Nobody may run the step, and the policy takes its time each time.
+def test_ticket_is_requested_once_per_worker() -> None:
+    """Request tickets only for workers that the policy has not denied.
 
-    Asked again and again, it would have no time for the steps of others.
+    Repeated requests would delay those for other steps.
     """
     fleet = _make_fleet()
     fleet.submit('job', make_step())
@@ -44,16 +44,13 @@
     fleet.policy.allowed = {'w-9'}
     fleet.add_worker(make_worker(9))
     fleet.run(2)
-    asked = [worker.name for worker in fleet.policy.questions[1].workers]
-    assert asked == ['w-9']
+    requested = [worker.name for worker in fleet.policy.questions[1].workers]
+    assert requested == ['w-9']
     assert fleet.get_runs(TASK) == ['w-9']
 
 
-def test_ticket_that_has_run_out_is_not_used() -> None:
-    """The step's next task comes after the ticket's time.
-
-    A start with an old ticket is refused, and the caller waits for nothing.
-    """
+def test_expired_ticket_is_not_used() -> None:
+    """Request a new ticket instead of sending an expired one."""
     fleet = _make_fleet(1)
     fleet.policy.allowed = {'w-0'}
     fleet.submit('job', make_step(5))
@@ -65,8 +62,8 @@
     assert len(fleet.policy.questions) == 2
 
 
-def test_silent_policy_is_asked_again() -> None:
-    """The policy's answer is lost, and the job waits for it."""
+def test_unanswered_request_is_repeated() -> None:
+    """Repeat a request that the policy has not answered."""
     fleet = _make_fleet()
     fleet.policy.is_silent = True
     fleet.policy.allowed = {'w-0'}
@@ -78,8 +75,8 @@
     assert fleet.get_runs(TASK) == ['w-0']
 
 
-def test_next_life_of_a_worker_needs_a_ticket_of_its_own() -> None:
-    """A worker restarts; the tickets of its last life are void there."""
+def test_restarted_worker_needs_new_ticket() -> None:
+    """Request a new ticket after a worker restarts."""
     fleet = _make_fleet(1)
     fleet.policy.allowed = {'w-0'}
     fleet.submit('job', make_step(5))
@@ -91,11 +88,10 @@
     assert len(model.running) == 4
 
 
-def test_filler_gets_tickets_where_processors_are_full() -> None:
-    """A filler's processors are not counted, and other tasks take them all.
+def test_best_effort_task_gets_tickets_where_cpus_are_used() -> None:
+    """Request tickets for a best-effort task on workers whose CPUs are in use.
 
-    Asked only about workers with room for its whole size, the policy never
-    hears of it, and the caller waits for a job that never begins.
+    Best-effort tasks reserve no CPU, so they fit there.
     """
     fleet = _make_fleet(1)
     fleet.policy.allowed = {'w-0'}
@@ -106,12 +102,8 @@
     assert fleet.get_runs(TASK) == ['w-0']
 
 
-def test_denied_worker_is_not_asked_about_again() -> None:
-    """The policy's answer about a worker does not change, nor runs out.
-
-    Asked about the same workers again and again, it has less time for steps
-    that it was not asked about yet.
-    """
+def test_denied_ticket_is_not_requested_again() -> None:
+    """Keep a denial beyond the time for which tickets are valid."""
     fleet = _make_fleet()
     fleet.submit('job', make_step())
     fleet.run(2 * _VALID_MS / 1000)
