--- a/src/sardinemast/dispatch/_maintenance.py
+++ b/src/sardinemast/dispatch/_maintenance.py
@@ -219,7 +219,7 @@
         if session is None:
             return True
         self._cordon(session, now_s)
-        return self._is_empty(session, now_s)
+        return self._is_drained(session, now_s)
 
     def _order(
         self,
@@ -333,7 +333,7 @@
         session.is_cordoned = True
         self._cordoned_at_s.setdefault(session.worker.name, now_s)
 
-    def _is_empty(self, session: WorkerSession, now_s: float) -> bool:
+    def _is_drained(self, session: WorkerSession, now_s: float) -> bool:
         name = session.worker.name
         remaining = [
             step
--- a/src/sardinemast/dispatch/_run_recorder.py
+++ b/src/sardinemast/dispatch/_run_recorder.py
@@ -32,7 +32,7 @@
     """Record starts and ends of runs in batches and send recorded starts.
 
     At most one command is in flight. Starts and ends that accumulate
-    meanwhile share the next one, so that they need few log entries.
+    meanwhile share the next one, which keeps the log short.
     """
 
     def __init__(self, state: DispatchState, tickets: TicketCache) -> None:
