--- a/src/sardinemast/control/_grant_planner.py
+++ b/src/sardinemast/control/_grant_planner.py
@@ -138,7 +138,7 @@
     def _split(
         self, team: str, freed: int, returned: set[GrantKey]
     ) -> GrantPlan:
-        needs = self._book.get_needs(team, self._is_alive)
+        needs = self._book.get_demands(team, self._is_alive)
         return plan_grants(
             tuple(_settle(need, team, returned) for need in needs),
             self._book.get_unallocated(team) + freed,
--- a/src/sardinemast/entry/_core.py
+++ b/src/sardinemast/entry/_core.py
@@ -211,7 +211,7 @@
         elif isinstance(message, RosterChanged):
             self._take_roster(message, now_s)
         elif isinstance(message, RecallGrants):
-            self._holder.take_recalls(message.recalls)
+            self._holder.record_recalls(message.recalls)
         elif isinstance(message, AllotSlots):
             self._slots.replace_allotments(message.pools)
             self._scheduler.replace_allotments(message.pools)
--- a/src/sardinemast/entry/_demand_reports.py
+++ b/src/sardinemast/entry/_demand_reports.py
@@ -50,7 +50,7 @@
         """Give what is to be sent now."""
         wanted = self._scheduler.count_demand(self._get_slots)
         short_teams = self._get_short_teams(wanted)
-        returns = self._holder.make_returns(
+        returns = self._holder.build_returns(
             self._link.state,
             self._scheduler.count_running,
         )
@@ -88,7 +88,7 @@
         small = _UNITS_PER_ENTRY * len(state.entries)
         return {
             team
-            for team, usable in self._holder.get_usable_teams(state).items()
+            for team, usable in self._holder.get_usable_by_team(state).items()
             if usable > wanted[team]
             and state.document.teams[team].limit < small
         }
--- a/src/sardinemast/grants/__init__.py
+++ b/src/sardinemast/grants/__init__.py
@@ -1,19 +1,22 @@
-"""Split each team's upper limit into grants that entries hold."""
+"""Divide each team's limit into grants held by entries.
+
+One unit of a limit or a grant permits one running request.
+"""
 
 from sardinemast.grants._demand_tracker import DemandTracker, GrantKey
 from sardinemast.grants._holder import GrantHolder
-from sardinemast.grants._planner import (
-    ROTATION_INTERVAL_S,
-    EntryDemand,
-    GrantPlan,
-    plan_grants,
-)
 from sardinemast.grants._releases import RunBoundTracker, plan_releases
 from sardinemast.grants._shares import (
     PoolShares,
     TeamQuota,
     split_max_min,
 )
+from sardinemast.grants._splitter import (
+    ROTATION_INTERVAL_S,
+    EntryDemand,
+    GrantPlan,
+    plan_grants,
+)
 
 __all__ = (
     'ROTATION_INTERVAL_S',
--- a/src/sardinemast/grants/_holder.py
+++ b/src/sardinemast/grants/_holder.py
@@ -1,4 +1,4 @@
-"""The holder's side of grants: what may be used, and what goes back."""
+"""Track the grants of one entry: usable amounts, recalls and returns."""
 
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
@@ -7,129 +7,133 @@
 from sardinemast.protocol import GrantRecall, GrantReturn
 
 
-class _Bound(NamedTuple):
+class _Cap(NamedTuple):
     log_index: int
     amount: int
 
 
 class GrantHolder:
-    """Know how much of its grants an entry incarnation may use.
+    """Decide how much of its grants an entry incarnation may use.
 
-    A return binds the holder from the moment it is sent. The leader may apply
-    it any time later, also after the stream was lost, and give the amount to
-    another entry; work started in between would bring the team above its
-    limit. The binding ends when the log shows a newer amount.
+    A return takes effect at the holder as soon as it is sent. The leader may
+    apply it at any later time, even after the stream is lost, and grant the
+    amount to another entry; starting work on it in the meantime would exceed
+    the team's limit. The restriction ends when the grant changes in the log.
     """
 
     def __init__(self, entry: str, incarnation: int) -> None:
-        self._place = (entry, incarnation)
-        self._returned: dict[str, _Bound] = {}
-        self._recalled: dict[str, _Bound] = {}
-        self._seen_state: tuple[FleetState, int] | None = None
+        self._own_key = (entry, incarnation)
+        self._return_caps: dict[str, _Cap] = {}
+        self._recall_caps: dict[str, _Cap] = {}
+        self._seen_version: tuple[FleetState, int] | None = None
         self._grants: dict[str, Grant] = {}
-        self._closed_teams: set[str] = set()
+        self._blocked_teams: set[str] = set()
         self._usable: dict[str, int] = {}
-        self._bound_teams: set[str] = set()
-        self._is_leaving = False
+        self._reducible_teams: set[str] = set()
+        self._is_returning_all = False
 
     def get_usable(self, state: FleetState, team: str) -> int:
-        """Give how much this entry may have running for the team."""
-        self._read(state)
+        """Return how many requests of the team may run at this entry."""
+        self._sync(state)
         return self._usable.get(team, 0)
 
-    def get_usable_teams(self, state: FleetState) -> dict[str, int]:
-        """Give the teams that this entry holds a grant of, with its use."""
-        self._read(state)
+    def get_usable_by_team(self, state: FleetState) -> dict[str, int]:
+        """Return the usable amount of each team that has a grant here."""
+        self._sync(state)
         return self._usable
 
     def start_returning_grants(self) -> None:
-        """Give back all that is idle from now on.
+        """Return all unused grants from now on.
 
-        Grants of an entry that stops would else lie idle until its lease and
-        the longest permitted run have passed.
+        Otherwise the grants of a stopping entry would stay unused until its
+        lease and the longest permitted run have passed.
         """
-        self._is_leaving = True
-        self._seen_state = None
+        self._is_returning_all = True
+        self._seen_version = None
 
     def holds_any(self, state: FleetState) -> bool:
-        """Tell whether the log has grants of this holder."""
-        self._read(state)
+        """Check whether the log holds any grant of this entry."""
+        self._sync(state)
         return bool(self._grants)
 
-    def take_recalls(self, recalls: Iterable[GrantRecall]) -> None:
-        """Note what the leader asks back."""
+    def record_recalls(self, recalls: Iterable[GrantRecall]) -> None:
+        """Record the leader's requests to reduce grants."""
         for recall in recalls:
-            self._recalled[recall.team] = _Bound(
+            self._recall_caps[recall.team] = _Cap(
                 recall.based_on_index,
                 recall.amount,
             )
-            self._refresh(recall.team)
+            self._update_usable(recall.team)
 
-    def make_returns(
+    def build_returns(
         self,
         state: FleetState,
         count_running: Callable[[str], int],
     ) -> tuple[GrantReturn, ...]:
-        """Give what goes back now, and again what is not applied yet."""
-        self._read(state)
-        if not self._bound_teams:
+        """Return the due returns, repeating those not yet applied."""
+        self._sync(state)
+        if not self._reducible_teams:
             return ()
-        grants = (self._grants[team] for team in sorted(self._bound_teams))
+        grants = (self._grants[team] for team in sorted(self._reducible_teams))
         return tuple(
-            GrantReturn(grant.team, left, grant.log_index)
+            GrantReturn(grant.team, remaining, grant.log_index)
             for grant in grants
-            if (left := self._bind(grant, count_running)) < grant.amount
+            if (remaining := self._reduce(grant, count_running)) < grant.amount
         )
 
-    def _bind(
+    def _reduce(
         self,
         grant: Grant,
         count_running: Callable[[str], int],
     ) -> int:
-        target = _cut(grant, self._recalled)
-        if grant.team in self._closed_teams:
+        target = _apply_cap(grant, self._recall_caps)
+        if grant.team in self._blocked_teams:
             target = 0
-        left = min(
+        remaining = min(
             max(target, count_running(grant.team)),
-            _cut(grant, self._returned),
+            _apply_cap(grant, self._return_caps),
         )
-        if left < grant.amount:
-            self._returned[grant.team] = _Bound(grant.log_index, left)
-            self._refresh(grant.team)
-        return left
+        if remaining < grant.amount:
+            self._return_caps[grant.team] = _Cap(grant.log_index, remaining)
+            self._update_usable(grant.team)
+        return remaining
 
-    def _read(self, state: FleetState) -> None:
+    def _sync(self, state: FleetState) -> None:
         seen = (state, state.log_index)
-        if seen == self._seen_state:
+        if seen == self._seen_version:
             return
-        self._seen_state = seen
+        self._seen_version = seen
         self._grants = {
             grant.team: grant
             for grant in state.grants.values()
-            if (grant.entry, grant.incarnation) == self._place
+            if (grant.entry, grant.incarnation) == self._own_key
         }
-        self._closed_teams = {
+        self._blocked_teams = {
             team
             for team in self._grants
-            if self._is_leaving
+            if self._is_returning_all
             or state.granted_totals.get(team, 0) > _get_limit(state, team)
         }
         self._usable.clear()
-        self._bound_teams.clear()
+        self._reducible_teams.clear()
         for team in self._grants:
-            self._refresh(team)
+            self._update_usable(team)
 
-    def _refresh(self, team: str) -> None:
+    def _update_usable(self, team: str) -> None:
         grant = self._grants.get(team)
         if grant is None:
             return
-        bound = min(_cut(grant, self._returned), _cut(grant, self._recalled))
-        is_closed = team in self._closed_teams
-        # Nothing starts while more is granted than a lowered limit: who else
-        # runs what is not known here, and together it may be more.
-        self._usable[team] = 0 if is_closed else bound
-        if is_closed or bound < grant.amount:
-            self._bound_teams.add(team)
+        cap = min(
+            _apply_cap(grant, self._return_caps),
+            _apply_cap(grant, self._recall_caps),
+        )
+        is_blocked = team in self._blocked_teams
+        # While the grants add up to more than a lowered limit, nothing may
+        # start: the work running at other entries is unknown here, and the
+        # total could exceed the limit.
+        self._usable[team] = 0 if is_blocked else cap
+        if is_blocked or cap < grant.amount:
+            self._reducible_teams.add(team)
 
 
 def _get_limit(state: FleetState, team: str) -> int:
@@ -137,8 +141,8 @@
     return declared.limit if declared else 0
 
 
-def _cut(grant: Grant, bounds: dict[str, _Bound]) -> int:
-    bound = bounds.get(grant.team)
-    if bound is None or bound.log_index != grant.log_index:
+def _apply_cap(grant: Grant, caps: dict[str, _Cap]) -> int:
+    cap = caps.get(grant.team)
+    if cap is None or cap.log_index != grant.log_index:
         return grant.amount
-    return min(grant.amount, bound.amount)
+    return min(grant.amount, cap.amount)
--- a/src/sardinemast/grants/_releases.py
+++ b/src/sardinemast/grants/_releases.py
@@ -1,4 +1,4 @@
-"""Release the grants of entry incarnations that surely run nothing."""
+"""Release the grants of entry incarnations that have ended."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -8,60 +8,61 @@
 
 def plan_releases(
     state: FleetState,
-    get_dead_until_s: Callable[[str, int], float],
+    get_end_s: Callable[[str, int], float],
     now_s: float,
 ) -> list[GrantChange]:
-    """Release the grants of entry incarnations that surely run nothing.
+    """Return the changes that release grants of ended entry incarnations.
 
-    ``get_dead_until_s`` tells for an entry incarnation when its lease and
-    the longest permitted run have passed. A release before that would let
-    another entry start work while the old work still runs, and the team
-    would pass its limit.
+    ``get_end_s`` returns when an entry incarnation's lease and the longest
+    permitted run after it have passed. An earlier release would let another
+    entry start work while the old work still runs, exceeding the team's
+    limit.
     """
     holders = {(one.entry, one.incarnation) for one in state.grants.values()}
-    dead = {holder for holder in holders if get_dead_until_s(*holder) <= now_s}
-    if not dead:
+    ended = {holder for holder in holders if get_end_s(*holder) <= now_s}
+    if not ended:
         return []
     return [
         GrantChange(grant.entry, grant.incarnation, grant.team, 0)
         for grant in state.grants.values()
-        if (grant.entry, grant.incarnation) in dead
+        if (grant.entry, grant.incarnation) in ended
     ]
 
 
-class _FormerBound(NamedTuple):
+class _ReplacedBound(NamedTuple):
     bound_s: float
     until_s: float
 
 
 class RunBoundTracker:
-    """Know the longest permitted run, also of documents just replaced.
+    """Track the longest permitted run, including replaced documents.
 
-    A request that started under a longer bound goes on by that bound. A
-    release by the new, shorter one would come while it still runs.
+    A request keeps the run bound in force when it started. If that was
+    longer than the current one, a release by the current one would come while
+    the request still runs.
     """
 
     def __init__(self, lease_s: float) -> None:
         self._lease_s = lease_s
         self._current_s: float = 0
-        self._fresh: list[float] = []
-        self._former: list[_FormerBound] = []
+        self._newly_replaced_s: list[float] = []
+        self._replaced: list[_ReplacedBound] = []
 
     def record_document(self, document: FleetDocument) -> None:
-        """Take the document that is in place now."""
-        self._fresh.append(self._current_s)
+        """Record a new document as the one in force."""
+        self._newly_replaced_s.append(self._current_s)
         self._current_s = _get_longest_run_s(document)
 
     def get_longest_run_s(self, now_s: float) -> float:
-        """Give the longest run that may be under way."""
-        self._former.extend(
-            _FormerBound(bound_s, now_s + self._lease_s + bound_s)
-            for bound_s in self._fresh
+        """Return the longest duration of any run that may be in progress."""
+        self._replaced.extend(
+            _ReplacedBound(bound_s, now_s + self._lease_s + bound_s)
+            for bound_s in self._newly_replaced_s
         )
-        self._fresh.clear()
-        self._former = [one for one in self._former if one.until_s > now_s]
-        former = (one.bound_s for one in self._former)
-        return max((self._current_s, *former))
+        self._newly_replaced_s.clear()
+        self._replaced = [one for one in self._replaced if one.until_s > now_s]
+        replaced = (one.bound_s for one in self._replaced)
+        return max((self._current_s, *replaced))
 
 
 def _get_longest_run_s(document: FleetDocument) -> float:
@@ -69,8 +70,8 @@
         *document.pools.values(),
         *(
             pool
-            for of_site in document.site_pools.values()
-            for pool in of_site.values()
+            for site_pools_by_name in document.site_pools.values()
+            for pool in site_pools_by_name.values()
         ),
     ]
     return max((pool.run_bound_s for pool in pools), default=0)
--- a/src/sardinemast/grants/_shares.py
+++ b/src/sardinemast/grants/_shares.py
@@ -1,4 +1,4 @@
-"""Weighted max-min shares of a pool's slots, corrected by what was used."""
+"""Divide a pool's slots by weighted max-min fairness and past usage."""
 
 from collections import Counter, defaultdict
 from collections.abc import Mapping
@@ -7,14 +7,14 @@
 
 from sardinemast.protocol import PoolAllotment, PoolUse, TeamAllotment, TeamUse
 
-_CORRECTION_S = 1.0
+_DEBT_REPAYMENT_S = 1.0
 _MAX_DEBT_S = 5.0
 _MIN_WEIGHT = 0.02
-_DIGITS = 3
+_SLOT_DECIMALS = 3
 
 
 class TeamQuota(NamedTuple):
-    """Hold a team's share and the upper limit on what it runs."""
+    """Hold a team's share and its limit on concurrent requests."""
 
     share: float
     limit: int
@@ -25,150 +25,165 @@
     wanted: Mapping[str, float],
     weights: Mapping[str, float],
 ) -> dict[str, float]:
-    """Give each team its weighted max-min part, never more than it wants."""
-    parts: dict[str, float] = {}
-    left = capacity
-    by_need = sorted(wanted, key=lambda team: wanted[team] / weights[team])
-    rest = sum(weights.values())
-    for team in by_need:
-        parts[team] = min(wanted[team], left * weights[team] / rest)
-        left -= parts[team]
-        rest -= weights[team]
-    return parts
+    """Return each team's weighted max-min share, at most its demand."""
+    allocations: dict[str, float] = {}
+    remaining = capacity
+    by_relative_demand = sorted(
+        wanted, key=lambda team: wanted[team] / weights[team]
+    )
+    remaining_weight = sum(weights.values())
+    for team in by_relative_demand:
+        allocations[team] = min(
+            wanted[team], remaining * weights[team] / remaining_weight
+        )
+        remaining -= allocations[team]
+        remaining_weight -= weights[team]
+    return allocations
 
 
 class PoolShares:
-    """Hold one pool's demand, use and debts to teams, fleet-wide.
+    """Divide one pool's slots among the entries and teams of the fleet.
 
-    A team that got less than its part, because slots are whole or reports
-    late, is owed the difference and gets a larger weight until it has it.
+    Slots are integers and reports arrive late, so a team may receive less
+    service than its fair share. The difference is kept as a debt to the team,
+    which raises its weight until the debt is paid.
     """
 
     def __init__(self, pool: str) -> None:
         self._pool = pool
         self._uses: dict[str, PoolUse] = {}
         self._used_s: dict[tuple[str, str], float] = {}
-        self._received_s: defaultdict[str, float] = defaultdict(float)
+        self._served_s: defaultdict[str, float] = defaultdict(float)
         self._debts_s: dict[str, float] = {}
-        self._parts: dict[str, float] = {}
-        self._planned_s: float = 0
+        self._fair_slots: dict[str, float] = {}
+        self._planned_at_s: float = 0
         self._turn = 0
 
     def record_use(self, entry: str, use: PoolUse) -> None:
-        """Take what an entry reports."""
+        """Record the demand and the used service time that an entry reports."""
         self._uses[entry] = use
         for one in use.teams:
             key = (entry, one.team)
             known_s = self._used_s.get(key, one.used_s)
-            # A restarted entry counts from zero again.
-            self._received_s[one.team] += max(0, one.used_s - known_s)
+            # The counter starts at zero again when an entry restarts.
+            self._served_s[one.team] += max(0, one.used_s - known_s)
             self._used_s[key] = one.used_s
 
     def remove_entry(self, entry: str) -> None:
-        """Forget an entry that is gone or uses the pool no more."""
+        """Remove an entry that has left or no longer uses the pool."""
         self._uses.pop(entry, None)
         if not self._uses:
-            # Whoever wants nothing is owed nothing, however long that takes.
-            self._parts = {}
+            # No debt accrues while the pool is not in use.
+            self._fair_slots = {}
 
     def is_used(self) -> bool:
-        """Tell whether any entry has something to run in the pool."""
+        """Check whether any entry reports demand for the pool."""
         return bool(self._uses)
 
     def plan(
         self,
-        terms: Mapping[str, TeamQuota],
+        quotas: Mapping[str, TeamQuota],
         entries: tuple[str, ...],
         now_s: float,
     ) -> dict[str, PoolAllotment]:
-        """Give each entry its slots and the teams' fair parts of them."""
+        """Return each entry's slots and the teams' fair shares of them."""
         reported = (use.capacity_slots for use in self._uses.values())
         capacity = max(reported, default=0)
-        wanted = self._sum_wanted(terms)
-        self._settle_debts(now_s)
-        shares = {team: max(_MIN_WEIGHT, terms[team].share) for team in wanted}
-        self._parts = split_max_min(capacity, wanted, shares)
+        wanted = self._get_capped_demand(quotas)
+        self._update_debts(now_s)
+        shares = {team: max(_MIN_WEIGHT, quotas[team].share) for team in wanted}
+        self._fair_slots = split_max_min(capacity, wanted, shares)
         weights = {
-            team: max(_MIN_WEIGHT, self._parts[team] + self._get_debt(team))
+            team: max(
+                _MIN_WEIGHT,
+                self._fair_slots[team] + self._get_debt_weight(team),
+            )
             for team in wanted
         }
         corrected = split_max_min(capacity, wanted, weights)
-        by_entry = self._split_over_entries(corrected)
-        slots = self._allot(by_entry, entries, capacity)
+        allotments_by_entry = self._divide_among_entries(corrected)
+        slots = self._assign_slots(allotments_by_entry, entries, capacity)
         return {
             entry: PoolAllotment(
-                self._pool, slots[entry], by_entry.get(entry, ())
+                self._pool, slots[entry], allotments_by_entry.get(entry, ())
             )
             for entry in entries
         }
 
-    def _get_debt(self, team: str) -> float:
-        return self._debts_s.get(team, 0) / _CORRECTION_S
+    def _get_debt_weight(self, team: str) -> float:
+        return self._debts_s.get(team, 0) / _DEBT_REPAYMENT_S
 
-    def _sum_wanted(self, terms: Mapping[str, TeamQuota]) -> dict[str, float]:
+    def _get_capped_demand(
+        self, quotas: Mapping[str, TeamQuota]
+    ) -> dict[str, float]:
         return {
-            team: min(amount, terms[team].limit)
-            for team, amount in self._count_wanted().items()
-            if team in terms and amount
+            team: min(amount, quotas[team].limit)
+            for team, amount in self._count_demand().items()
+            if team in quotas and amount
         }
 
-    def _count_wanted(self) -> Counter[str]:
+    def _count_demand(self) -> Counter[str]:
         wanted: Counter[str] = Counter()
         for use in self._uses.values():
             for one in use.teams:
                 wanted[one.team] += one.waiting + one.running
         return wanted
 
-    def _settle_debts(self, now_s: float) -> None:
-        passed_s = now_s - self._planned_s
-        self._planned_s = now_s
-        owed: dict[str, float] = {}
-        for name, part in self._parts.items():
-            debt_s = self._debts_s.get(name, 0) + part * passed_s
-            debt_s -= self._received_s[name]
-            owed[name] = max(-_MAX_DEBT_S, min(_MAX_DEBT_S, debt_s))
-        self._received_s.clear()
-        # Whoever wants nothing is owed nothing: shares are not saved up.
-        self._debts_s = owed
-
-    def _split_over_entries(
+    def _update_debts(self, now_s: float) -> None:
+        elapsed_s = now_s - self._planned_at_s
+        self._planned_at_s = now_s
+        debts_s: dict[str, float] = {}
+        for name, allocation in self._fair_slots.items():
+            debt_s = self._debts_s.get(name, 0) + allocation * elapsed_s
+            debt_s -= self._served_s[name]
+            debts_s[name] = max(-_MAX_DEBT_S, min(_MAX_DEBT_S, debt_s))
+        self._served_s.clear()
+        # Debts to teams without demand lapse: unused shares do not accumulate.
+        self._debts_s = debts_s
+
+    def _divide_among_entries(
         self,
-        parts: Mapping[str, float],
+        allocations: Mapping[str, float],
     ) -> dict[str, tuple[TeamAllotment, ...]]:
-        totals = self._count_wanted()
-        by_entry: dict[str, tuple[TeamAllotment, ...]] = {}
+        totals = self._count_demand()
+        allotments_by_entry: dict[str, tuple[TeamAllotment, ...]] = {}
         for entry, use in self._uses.items():
-            by_entry[entry] = tuple(
-                TeamAllotment(one.team, _scale(parts[one.team], one, totals))
+            allotments_by_entry[entry] = tuple(
+                TeamAllotment(
+                    one.team,
+                    _scale_to_entry(allocations[one.team], one, totals),
+                )
                 for one in use.teams
-                if one.team in parts
+                if one.team in allocations
             )
-        return by_entry
+        return allotments_by_entry
 
-    def _allot(
+    def _assign_slots(
         self,
-        by_entry: Mapping[str, tuple[TeamAllotment, ...]],
+        allotments_by_entry: Mapping[str, tuple[TeamAllotment, ...]],
         entries: tuple[str, ...],
         capacity: int,
     ) -> dict[str, int]:
-        # What runs is counted first, so that a slot goes to another entry
-        # only after its former holder has let it go.
+        # Slots in use count as taken even above their entry's target, so that
+        # no slot is allotted to another entry before it is free.
         running = {entry: self._count_running(entry) for entry in entries}
         targets = {
-            entry: sum(one.slots for one in by_entry.get(entry, ()))
+            entry: sum(one.slots for one in allotments_by_entry.get(entry, ()))
             for entry in entries
         }
-        room = max(0, capacity - sum(running.values()))
+        free = max(0, capacity - sum(running.values()))
         slots = {
             entry: min(running[entry], round(targets[entry]))
             for entry in entries
         }
-        lacking = [(slots[entry] - targets[entry], entry) for entry in entries]
-        heapify(lacking)
-        for _ in range(room):
-            lack, entry = lacking[0]
+        by_deficit = [
+            (slots[entry] - targets[entry], entry) for entry in entries
+        ]
+        heapify(by_deficit)
+        for _ in range(free):
+            negative_deficit, entry = by_deficit[0]
             slots[entry] += 1
-            heapreplace(lacking, (lack + 1, entry))
+            heapreplace(by_deficit, (negative_deficit + 1, entry))
         return slots
 
     def _count_running(self, entry: str) -> int:
@@ -176,6 +191,8 @@
         return sum(one.running for one in use.teams) if use else 0
 
 
-def _scale(part: float, one: TeamUse, totals: Mapping[str, int]) -> float:
-    here = one.waiting + one.running
-    return round(part * here / totals[one.team], _DIGITS)
+def _scale_to_entry(
+    allocation: float, one: TeamUse, totals: Mapping[str, int]
+) -> float:
+    local_demand = one.waiting + one.running
+    return round(allocation * local_demand / totals[one.team], _SLOT_DECIMALS)
--- a/tests/grants/test_grant_sessions.py
+++ b/tests/grants/test_grant_sessions.py
@@ -1,4 +1,4 @@
-"""Golden session of a leader that moves a limit of one between entries."""
+"""Golden session: the leader moves a limit of one between entries."""
 
 from random import Random
 
@@ -14,8 +14,8 @@
 )
 
 
-def test_unit_moves_and_outlives_its_holder() -> None:
-    """One unit is recalled, moves, and comes back from a dead entry."""
+def test_unit_is_recalled_moved_and_released() -> None:
+    """A unit is recalled, granted elsewhere, and released on expiry."""
     core = control.ControlCore(
         control.ControlSettings(consensus.ReplicaSettings('c', ('c',))),
         consensus.HardState(),
@@ -30,20 +30,20 @@
         name = f'entry-{stream_id}'
         core.step(control.EntryConnected(stream_id, name, 1), 2)
     session = Session(core.step)
-    session.note('Entry 1 asks for two and gets the one unit.')
+    session.note('Entry 1 wants two units and is granted the only one.')
     session.step(_receive(1, _renew(core, 2)), 3)
-    session.note('Entry 2 waits; the unit is used, so it stays a moment.')
+    session.note('Entry 2 wants one; the unit is in use and not recalled yet.')
     session.step(_receive(2, _renew(core, 1)), 3.1)
-    session.note('Then it is asked back.')
+    session.note('After the rotation interval the unit is recalled.')
     session.step(control.Tick(), 3.3)
-    session.note('Return and raise are one command.')
+    session.note('Return and raise are committed as one command.')
     index = core.state.log_index
     returned = (GrantReturn(TEAM, 0, index),)
     demands = (TeamDemand(TEAM, 1, 0),)
     session.step(_receive(1, ReportDemand(demands, returned)), 3.4)
-    session.note('A return that comes again changes nothing.')
+    session.note('A repeated return has no effect.')
     session.step(_receive(1, ReportDemand(demands, returned)), 3.41)
-    session.note('Entry 2 is not heard again: lease 3 s, longest run 5 s.')
+    session.note('Entry 2 stays silent: lease 3 s, longest run 5 s.')
     session.step(control.EntryDisconnected(2), 3.5)
     session.step(_receive(1, _renew(core, 1)), 11)
     session.step(control.Tick(), 11.2)
--- a/tests/grants/test_releases.py
+++ b/tests/grants/test_releases.py
@@ -1,4 +1,4 @@
-"""Release of grants whose holder is gone."""
+"""Tests of the release of grants whose holder has ended."""
 
 from builders.teams import (
     TEAM,
@@ -10,16 +10,13 @@
 from sardinemast.grants import RunBoundTracker
 from sardinemast.protocol import LeaseGranted, RenewLease, TeamDemand
 
-_WISH = (TeamDemand(TEAM, 1, 0),)
+_DEMANDS = (TeamDemand(TEAM, 1, 0),)
 
 
-def test_waking_entry_gets_no_lease_while_its_grant_is_released() -> None:
-    """No lease is given between the plan of a release and its commit.
+def test_no_lease_while_grants_are_released() -> None:
+    """Guard against a lease between proposal and commit of a release.
 
-    An entry is frozen until its lease and the longest run have passed, and
-    wakes up just when its grants are being released. With a lease it would
-    start work on a grant that the next moment belongs to another entry, and
-    the team would have more running than its limit.
+    The entry would start work on a grant that is about to be released.
     """
     controls = Controls()
     now_s: float = 0
@@ -31,7 +28,9 @@
         controls.step(leader, control.CommandRequested(0, command), now_s)
     connected = control.EntryConnected(1, 'entry-1', 1)
     controls.step(leader, connected, now_s)
-    renewal = control.EntryMessageReceived(1, RenewLease(now_s, 0, _WISH, ()))
+    renewal = control.EntryMessageReceived(
+        1, RenewLease(now_s, 0, _DEMANDS, ())
+    )
     controls.step(leader, renewal, now_s)
     controls.step(leader, renewal, now_s)
     assert controls.cores[leader].state.grants
@@ -50,13 +49,8 @@
     assert not controls.cores[leader].state.grants
 
 
-def test_longest_run_outlives_its_document() -> None:
-    """A shorter bound counts only when runs under the longer one are over.
-
-    An operator lowers the longest run of a pool while an entry is dead.
-    What it had started runs on by the former bound; a release by the new
-    one would let other entries start the team's work beside it.
-    """
+def test_replaced_run_bound_counts_until_its_runs_end() -> None:
+    """Guard against a release while runs of the old bound continue."""
     bounds = RunBoundTracker(lease_s=3)
     bounds.record_document(make_limit_document(1, run_bound_s=30))
     bounds.get_longest_run_s(0)
--- a/tests/grants/test_shares.py
+++ b/tests/grants/test_shares.py
@@ -1,4 +1,4 @@
-"""Shares of a pool's slots."""
+"""Tests of the division of a pool's slots."""
 
 from types import MappingProxyType
 
@@ -9,65 +9,68 @@
 from sardinemast.grants import PoolShares, TeamQuota, split_max_min
 from sardinemast.protocol import PoolUse, TeamUse
 
-_TERMS = MappingProxyType(
+_QUOTAS = MappingProxyType(
     {'a': TeamQuota(1, 99), 'b': TeamQuota(1, 99), 'c': TeamQuota(2, 4)}
 )
 
 
 @given(
     capacity=st.floats(0, 99),
-    wants=st.lists(
+    demands=st.lists(
         st.tuples(st.floats(0.1, 99), st.floats(0.1, 9)),
         min_size=1,
         max_size=6,
     ),
 )
-def test_max_min_is_whole_and_fair(
+def test_max_min_is_complete_and_fair(
     capacity: float,
-    wants: list[tuple[float, float]],
+    demands: list[tuple[float, float]],
 ) -> None:
-    """All of a wanted pool is given, and who wants more has equal parts."""
-    wanted = {str(place): want for place, (want, _) in enumerate(wants)}
-    weights = {str(place): weight for place, (_, weight) in enumerate(wants)}
-    parts = split_max_min(capacity, wanted, weights)
-    whole = min(capacity, sum(wanted.values()))
-    assert sum(parts.values()) == pytest.approx(whole)
+    """Guard against wasted capacity and unequal shares."""
+    wanted = {str(index): want for index, (want, _) in enumerate(demands)}
+    weights = {str(index): weight for index, (_, weight) in enumerate(demands)}
+    allotments = split_max_min(capacity, wanted, weights)
+    expected_total = min(capacity, sum(wanted.values()))
+    assert sum(allotments.values()) == pytest.approx(expected_total)
     unmet = [
-        parts[team] / weights[team]
-        for team in parts
-        if parts[team] < wanted[team] - 1e-6
+        allotments[team] / weights[team]
+        for team in allotments
+        if allotments[team] < wanted[team] - 1e-6
     ]
     assert not unmet or min(unmet) == pytest.approx(max(unmet))
 
 
-def test_slots_follow_demand_and_never_pass_the_pool() -> None:
-    """Callers that all come to one entry find the slots there."""
+def test_slots_follow_demand_within_the_pool() -> None:
+    """Guard against slots left at entries without demand."""
     shares = PoolShares('pool')
     shares.record_use('entry-1', _use('a', waiting=50, running=3))
     shares.record_use('entry-2', _use('b', waiting=0, running=1))
-    parts = shares.plan(_TERMS, ('entry-1', 'entry-2', 'entry-3'), 1)
-    slots = {entry: part.slots for entry, part in parts.items()}
+    allotments = shares.plan(_QUOTAS, ('entry-1', 'entry-2', 'entry-3'), 1)
+    slots = {entry: allotment.slots for entry, allotment in allotments.items()}
     assert sum(slots.values()) == 8
     assert slots == {'entry-1': 7, 'entry-2': 1, 'entry-3': 0}
 
 
-def test_team_that_got_less_is_owed_the_rest() -> None:
-    """What a team misses in one moment it gets in the next."""
+def test_underserved_team_gets_more() -> None:
+    """Guard against teams that never recover missed service."""
     shares = PoolShares('pool')
-    for moment in range(3):
-        shares.record_use('entry-1', _use('a', 9, 6, used_s=6.0 * moment))
-        shares.record_use('entry-2', _use('b', 9, 2, used_s=2.0 * moment))
-        parts = shares.plan(_TERMS, ('entry-1', 'entry-2'), moment)
-    assert parts['entry-2'].teams[0].slots > parts['entry-1'].teams[0].slots
+    for now_s in range(3):
+        shares.record_use('entry-1', _use('a', 9, 6, used_s=6.0 * now_s))
+        shares.record_use('entry-2', _use('b', 9, 2, used_s=2.0 * now_s))
+        allotments = shares.plan(_QUOTAS, ('entry-1', 'entry-2'), now_s)
+    assert (
+        allotments['entry-2'].teams[0].slots
+        > allotments['entry-1'].teams[0].slots
+    )
 
 
-def test_limit_of_a_team_bounds_its_part() -> None:
-    """Slots that a team may not use by its limit go to the others."""
+def test_limit_bounds_allotment() -> None:
+    """Guard against slots that a team's limit leaves unused."""
     shares = PoolShares('pool')
     shares.record_use('entry-1', _use('a', 20, 0))
     shares.record_use('entry-2', _use('c', 20, 0))
-    parts = shares.plan(_TERMS, ('entry-1', 'entry-2'), 1)
-    assert parts['entry-2'].teams[0].slots == pytest.approx(4)
+    allotments = shares.plan(_QUOTAS, ('entry-1', 'entry-2'), 1)
+    assert allotments['entry-2'].teams[0].slots == pytest.approx(4)
 
 
 def _use(team: str, waiting: int, running: int, used_s: float = 0) -> PoolUse:
