--- a/src/sardinemast/entry/__init__.py
+++ b/src/sardinemast/entry/__init__.py
@@ -1,4 +1,4 @@
-"""Core of an entry process: admission and routing on one state."""
+"""Core of an entry process: admit requests and route them to upstreams."""
 
 from sardinemast.entry._core import EntryCore, EntrySettings
 from sardinemast.entry._events import (
--- a/src/sardinemast/entry/_core.py
+++ b/src/sardinemast/entry/_core.py
@@ -1,4 +1,4 @@
-"""Decide what an entry does with requests, without input or output."""
+"""Decide how an entry handles requests, without performing any I/O."""
 
 from collections.abc import Callable
 from functools import partial
@@ -30,7 +30,7 @@
     Tick,
     UpstreamAnnounced,
 )
-from sardinemast.entry._upstream_reports import UpstreamReports
+from sardinemast.entry._reports import UpstreamReports
 from sardinemast.fleet import FleetState, get_pool
 from sardinemast.grants import GrantHolder
 from sardinemast.membership import Announcement, RosterUpstream, RosterView
@@ -46,7 +46,7 @@
 
 
 class EntrySettings(NamedTuple):
-    """Name the entry and the data centre it stands in."""
+    """Identify the entry and its data centre."""
 
     name: str
     incarnation: int
@@ -54,7 +54,7 @@
 
 
 class EntryCore:
-    """Join admission and routing on one replicated state."""
+    """Combine admission and routing on the replicated state."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self._settings = settings
@@ -62,7 +62,7 @@
         self._holder = GrantHolder(settings.name, settings.incarnation)
         self._scheduler = RequestScheduler()
         self._slots = SlotAllotments(settings.data_centre)
-        self._demand = DemandReports(
+        self._demand_reports = DemandReports(
             self._link,
             self._holder,
             self._scheduler,
@@ -72,45 +72,45 @@
             settings.data_centre,
             Random(settings.incarnation),
         )
-        self._view = RosterView()
-        self._reports = UpstreamReports(self._view)
-        # A plain table: the method of functools builds a closure on each call,
-        # which costs more than the rest of a step.
+        self._roster = RosterView()
+        self._upstream_reports = UpstreamReports(self._roster)
+        # A dict, since functools.singledispatchmethod builds a closure on each
+        # call, which costs more than the rest of a step.
         self._handlers: dict[type, Callable[[Any, float], None]] = {
             Tick: self._handle_tick,
             RequestArrived: self._handle_arrival,
-            CallerDisconnected: self._handle_caller_left,
-            AttemptEnded: self._handle_ended,
+            CallerDisconnected: self._handle_caller_disconnected,
+            AttemptEnded: self._handle_attempt_ended,
             UpstreamAnnounced: self._handle_announced,
             ControlReceived: self._handle_control,
-            ControlDisconnected: self._handle_lost,
+            ControlDisconnected: self._handle_control_disconnected,
         }
         self._outputs: list[EntryOutput] = []
 
     @property
     def state(self) -> FleetState:
-        """Give the state as this entry has it."""
+        """Return the replicated state as applied at this entry."""
         return self._link.state
 
     @property
     def upstreams(self) -> tuple[Announcement, ...]:
-        """Give the upstreams as this entry knows them."""
-        return self._view.announcements
+        """Return the upstreams known to this entry."""
+        return self._roster.announcements
 
     def is_ready(self, now_s: float) -> bool:
-        """Tell the balancer whether to send requests here."""
+        """Check whether the balancer may send requests to this entry."""
         return self._link.has_lease(now_s)
 
     def start_returning_grants(self) -> None:
-        """Give all grants back; nothing waits any more."""
+        """Return all grants; call this once no request is waiting."""
         self._holder.start_returning_grants()
 
     def holds_grants(self) -> bool:
-        """Tell whether the log has grants of this entry."""
+        """Check whether the log holds any grant of this entry."""
         return self._holder.holds_any(self.state)
 
     def check_head(self, arrival: Arrival, now_s: float) -> Refusal | int:
-        """Give the limit of the body in bytes, or refuse by the head."""
+        """Return the body size limit in bytes, or refuse by the headers."""
         refusal = self._check(arrival, now_s)
         if isinstance(refusal, Refusal):
             return refusal
@@ -118,19 +118,20 @@
         return pool.body_limit_bytes if pool else 0
 
     def step(self, event: EntryEvent, now_s: float) -> list[EntryOutput]:
-        """Take an event and give the outputs, to be carried out in order."""
+        """Process an event; return the outputs to execute in order."""
         self._outputs = []
         self._handlers[type(event)](event, now_s)
         for request_id, refusal in self._scheduler.expire(now_s):
             self._refuse(request_id, refusal)
         self._dispatch(now_s)
-        for message in self._demand.make(now_s):
+        for message in self._demand_reports.build(now_s):
             self._outputs.append(SendToControl(message))
         return self._outputs
 
     def _handle_tick(self, event: Tick, now_s: float) -> None:
         self._outputs.extend(
-            SendToControl(message) for message in self._reports.take_due(now_s)
+            SendToControl(message)
+            for message in self._upstream_reports.build_due_reports(now_s)
         )
 
     def _handle_arrival(self, event: RequestArrived, now_s: float) -> None:
@@ -154,14 +155,15 @@
             now_s,
         )
 
-    def _handle_caller_left(
+    def _handle_caller_disconnected(
         self, event: CallerDisconnected, now_s: float
     ) -> None:
-        # What runs goes on and keeps its place; only what waits is dropped.
+        # Running attempts continue and keep their slots; only a request that
+        # still waits is dropped.
         self._scheduler.cancel(event.request_id)
         self._attempts.abandon(event.request_id)
 
-    def _handle_ended(self, event: AttemptEnded, now_s: float) -> None:
+    def _handle_attempt_ended(self, event: AttemptEnded, now_s: float) -> None:
         outcome = self._attempts.end(
             event.request_id,
             event.attempt_result,
@@ -191,50 +193,54 @@
         event: UpstreamAnnounced,
         now_s: float,
     ) -> None:
-        self._reports.hear(event.announcement, now_s)
-        if self._view.accept_departure(event.announcement, now_s):
-            self._show_roster(now_s)
+        self._upstream_reports.record(event.announcement, now_s)
+        if self._roster.accept_departure(event.announcement, now_s):
+            self._apply_roster(now_s)
 
-    def _handle_lost(self, event: ControlDisconnected, now_s: float) -> None:
-        """Let the lease run out by itself, and tell all to the next leader."""
-        self._view.clear_handles()
-        self._demand.reset()
+    def _handle_control_disconnected(
+        self, event: ControlDisconnected, now_s: float
+    ) -> None:
+        """Keep the lease until it expires; report all to the next leader."""
+        self._roster.clear_handles()
+        self._demand_reports.reset()
 
     def _handle_control(self, event: ControlReceived, now_s: float) -> None:
         message = event.message
         if isinstance(message, LeaseGranted):
-            self._link.take_lease(message)
+            self._link.handle_lease(message)
         elif isinstance(message, StateReplaced):
-            self._link.take_state(message)
+            self._link.replace_state(message)
         elif isinstance(message, StateChanged):
-            self._link.take_commands(message)
+            self._link.apply_commands(message)
         elif isinstance(message, RosterChanged):
-            self._take_roster(message, now_s)
+            self._handle_roster(message, now_s)
         elif isinstance(message, RecallGrants):
             self._holder.record_recalls(message.recalls)
         elif isinstance(message, AllotSlots):
             self._slots.replace_allotments(message.pools)
             self._scheduler.replace_allotments(message.pools)
 
-    def _take_roster(self, message: RosterChanged, now_s: float) -> None:
+    def _handle_roster(self, message: RosterChanged, now_s: float) -> None:
         handles = message.handles or (0,) * len(message.announcements)
         upstreams = tuple(
             map(RosterUpstream, handles, message.announcements),
         )
         if message.is_snapshot:
-            self._view.replace(
+            self._roster.replace(
                 upstreams,
                 now_s,
                 is_complete=message.is_complete,
             )
-            self._reports.start_epoch(message.epoch)
+            self._upstream_reports.start_epoch(message.epoch)
         else:
-            self._view.apply_changes(upstreams, message.removed_handles, now_s)
-        self._show_roster(now_s)
+            self._roster.apply_changes(
+                upstreams, message.removed_handles, now_s
+            )
+        self._apply_roster(now_s)
 
-    def _show_roster(self, now_s: float) -> None:
-        self._attempts.replace_roster(self._view.announcements, now_s)
-        self._slots.replace_roster(self._view.announcements)
+    def _apply_roster(self, now_s: float) -> None:
+        self._attempts.replace_roster(self._roster.announcements, now_s)
+        self._slots.replace_roster(self._roster.announcements)
 
     def _dispatch(self, now_s: float) -> None:
         if not self._link.has_lease(now_s):
--- a/src/sardinemast/entry/_events.py
+++ b/src/sardinemast/entry/_events.py
@@ -1,4 +1,4 @@
-"""What goes into an entry's core and what comes out of it."""
+"""Input events and outputs of an entry's core."""
 
 from typing import NamedTuple
 
@@ -9,52 +9,52 @@
 
 
 class Tick(NamedTuple):
-    """Tell the core that time has passed."""
+    """Trigger the core's periodic work."""
 
 
 class RequestArrived(NamedTuple):
-    """Hand over a caller's whole request."""
+    """Report that a caller's request has been received completely."""
 
     arrival: Arrival
 
 
 class CallerDisconnected(NamedTuple):
-    """Tell that nobody waits for the answer any more."""
+    """Report that the caller no longer waits for the answer."""
 
     request_id: int
 
 
 class AttemptEnded(NamedTuple):
-    """Tell how an attempt ended."""
+    """Report the result of an attempt at an upstream."""
 
     request_id: int
     attempt_result: AttemptResult
 
 
 class UpstreamAnnounced(NamedTuple):
-    """Hand over an upstream's announcement."""
+    """Report an announcement received from an upstream."""
 
     announcement: Announcement
 
 
 class ControlReceived(NamedTuple):
-    """Hand over a message of the leader."""
+    """Report a message received from the leader."""
 
     message: ControlMessage
 
 
 class ControlDisconnected(NamedTuple):
-    """Tell that the stream to the leader has ended."""
+    """Report that the stream to the leader has ended."""
 
 
 class ForwardAnswer(NamedTuple):
-    """Give the upstream's answer to the caller."""
+    """Forward the upstream's answer to the caller."""
 
     request_id: int
 
 
 class RefuseRequest(NamedTuple):
-    """Give the final refusal to the caller."""
+    """Answer the caller with a final refusal."""
 
     request_id: int
     refusal: Refusal
--- a/tests/entry/test_limits_fuzz.py
+++ b/tests/entry/test_limits_fuzz.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of a team's limit over entries, leaders and upstreams."""
+"""Stateful fuzz test of a team's limit under failures of all processes."""
 
 from itertools import count
 
@@ -31,8 +31,8 @@
 _ENTRIES = ('entry-1', 'entry-2', 'entry-3')
 _NODE = st.sampled_from(range(len(_ENTRIES)))
 _ANY = st.integers(0, 99)
-_CALM_STEPS = 4
-_DISTURBANCES = (
+_MIN_STEPS_BETWEEN_FAILURES = 4
+_FAILURES = (
     'freeze',
     'kill',
     'reconnect',
@@ -45,10 +45,10 @@
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Let entries serve one team while nearly everything fails.
+    """Let entries serve one team while processes and streams fail.
 
-    The oracle knows what was sent, what started, what ended, and which
-    limits may be in force.
+    The model tracks which attempts started and ended and which limits may be
+    in force. A team must never run more than the highest of them.
     """
 
     def __init__(self) -> None:
@@ -58,19 +58,19 @@
         self.controls = Controls()
         self.streams: dict[int, tuple[Node, Stream]] = {}
         self.nodes: list[Node] = []
-        self.works: list[Work] = []
-        self.awaited: list[Work] = []
-        self.ran: set[tuple[str, int, int]] = set()
-        self.final: set[tuple[str, int, int]] = set()
+        self.running: list[Work] = []
+        self.pending: list[Work] = []
+        self.started: set[tuple[str, int, int]] = set()
+        self.answered: set[tuple[str, int, int]] = set()
         self.limits: dict[int, int] = {}
-        self.slow: set[int] = set()
-        self.calm_steps = 0
+        self.slow_streams: set[int] = set()
+        self.steps_since_failure = 0
         self._announced_s: float = 0
         self._announced = entry.UpstreamAnnounced(make_serving_upstream())
 
     @initialize(limit=st.integers(1, 3))
     def set_up(self, limit: int) -> None:
-        """Elect a leader, apply the document, connect all entries."""
+        """Elect a leader, apply the document and connect all entries."""
         while not self.controls.get_leader(self.now_s):
             self._advance(1)
         for command in make_setup_commands(limit):
@@ -83,7 +83,7 @@
         self._advance(0.3)
 
     @rule(index=_NODE, requests=st.integers(1, 5), is_short=st.booleans())
-    def arrive(self, index: int, requests: int, is_short: bool) -> None:
+    def send_requests(self, index: int, requests: int, is_short: bool) -> None:
         """Send requests to an entry."""
         node = self.nodes[index]
         for _ in range(requests):
@@ -91,66 +91,74 @@
                 next(self.ids), POOL, KEY_DIGEST, False, 3 if is_short else 9, 1
             )
             if not node.is_frozen:
-                self._act(node, entry.RequestArrived(arrival))
+                self._step(node, entry.RequestArrived(arrival))
 
-    @rule(choice=_ANY, ending=st.sampled_from(entry.AttemptResult))
-    def end_attempt(self, choice: int, ending: entry.AttemptResult) -> None:
-        """End an attempt; a broken one leaves the work running."""
-        known = [one for one in self.awaited if not one.node.is_frozen]
+    @rule(choice=_ANY, result=st.sampled_from(entry.AttemptResult))
+    def end_attempt(self, choice: int, result: entry.AttemptResult) -> None:
+        """End an attempt; after some results the upstream keeps running."""
+        known = [one for one in self.pending if not one.node.is_frozen]
         if not known:
             return
         work = known[choice % len(known)]
-        is_over = ending in {
+        has_ended = result in {
             entry.AttemptResult.answered,
-            # A whole answer that reports an error: the upstream has ended.
+            # A complete answer with an error status: the run has ended.
             entry.AttemptResult.failed,
             entry.AttemptResult.not_sent,
         }
-        if is_over and work in self.works:
-            self.works.remove(work)
-        if ending is entry.AttemptResult.not_sent:
-            self.ran.discard(self._get_id(work.node, work.request_id))
-        self._end(work, ending)
+        if has_ended and work in self.running:
+            self.running.remove(work)
+        if result is entry.AttemptResult.not_sent:
+            self.started.discard(
+                self._get_request_key(work.node, work.request_id)
+            )
+        self._end(work, result)
 
     @rule(choice=_ANY)
-    def leave(self, choice: int) -> None:
-        """Let a caller go."""
+    def disconnect_caller(self, choice: int) -> None:
+        """Disconnect a caller."""
         node = self.nodes[choice % len(self.nodes)]
         if not node.is_frozen:
-            self._act(node, entry.CallerDisconnected(choice))
+            self._step(node, entry.CallerDisconnected(choice))
 
     @rule(time_s=st.sampled_from((0.02, 0.3, 1.0, 3.0)))
     def wait(self, time_s: float) -> None:
         """Let time pass."""
         self._advance(time_s)
 
-    @rule(index=_NODE, messages=st.integers(1, 4), is_up=st.booleans())
-    def deliver_some(self, index: int, messages: int, is_up: bool) -> None:
-        """Deliver a few messages of one slow stream in one direction."""
+    @rule(index=_NODE, messages=st.integers(1, 4), is_to_control=st.booleans())
+    def deliver_some(
+        self, index: int, messages: int, is_to_control: bool
+    ) -> None:
+        """Deliver a few messages of one stream in one direction."""
         node = self.nodes[index]
         for _ in range(messages):
-            if node.stream is not None and is_up:
-                self._deliver_up(node.stream)
+            if node.stream is not None and is_to_control:
+                self._deliver_to_control(node.stream)
             elif node.stream is not None:
-                self._deliver_down(node, node.stream)
+                self._deliver_to_entry(node, node.stream)
 
     @rule(index=_NODE)
-    def slow_stream(self, index: int) -> None:
-        """Let a stream deliver only by a few messages, or freely again."""
-        self.slow ^= {index}
+    def toggle_slow_stream(self, index: int) -> None:
+        """Toggle whether a stream delivers only through ``deliver_some``."""
+        self.slow_streams ^= {index}
 
     @rule(requests=st.integers(1, 3), time_s=st.sampled_from((0.02, 0.3)))
-    def arrive_everywhere(self, requests: int, time_s: float) -> None:
-        """Send requests to all entries, so that they want the same units."""
+    def send_requests_to_all(self, requests: int, time_s: float) -> None:
+        """Send requests to all entries, so that they compete for units."""
         for index, _ in enumerate(self.nodes):
-            self.arrive(index, requests, is_short=False)
+            self.send_requests(index, requests, is_short=False)
         self._advance(time_s)
 
-    @precondition(lambda machine: machine.calm_steps >= _CALM_STEPS)
-    @rule(kind=st.sampled_from(_DISTURBANCES), index=_NODE, choice=_ANY)
-    def disturb(self, kind: str, index: int, choice: int) -> None:
-        """Let something fail, but not so often that nothing ever runs."""
-        self.calm_steps = 0
+    @precondition(
+        lambda machine: (
+            machine.steps_since_failure >= _MIN_STEPS_BETWEEN_FAILURES
+        )
+    )
+    @rule(kind=st.sampled_from(_FAILURES), index=_NODE, choice=_ANY)
+    def inject_failure(self, kind: str, index: int, choice: int) -> None:
+        """Inject a failure, rarely enough that requests still run."""
+        self.steps_since_failure = 0
         node = self.nodes[index]
         if kind == 'freeze':
             node.is_frozen = not node.is_frozen
@@ -160,25 +168,25 @@
         elif kind == 'reconnect' and not node.is_frozen:
             self._connect(node)
         elif kind == 'notice cut':
-            self._notice_cut(choice)
+            self._close_stream_at_control(choice)
         elif kind == 'late message' and self.streams:
             ids = sorted(self.streams)
-            self._deliver_up(self.streams[ids[choice % len(ids)]][1])
+            self._deliver_to_control(self.streams[ids[choice % len(ids)]][1])
         elif kind == 'hold replication':
             self.controls.is_held = not self.controls.is_held
             self.controls.deliver(self.now_s)
         elif kind == 'change leader':
             self._change_leader()
         elif kind == 'long cut':
-            self._cut_off(index, choice)
+            self._cut_off_entry(index, choice)
 
     @rule(time_s=st.sampled_from((0.3, 3.0)))
     def recover(self, time_s: float) -> None:
-        """Let everything work again for a while."""
+        """End all failures and let time pass."""
         self.controls.is_held = False
         self.controls.deliver(self.now_s)
-        self._collect()
-        self.slow.clear()
+        self._queue_sent_messages()
+        self.slow_streams.clear()
         for node in self.nodes:
             node.is_frozen = False
         self.deliver_all()
@@ -191,7 +199,7 @@
         run_bound_s=st.sampled_from((1, 5)),
     )
     def change_limit(self, limit: int, run_bound_s: float) -> None:
-        """Apply another limit and another longest run."""
+        """Apply another limit and another run bound."""
         leader = self.controls.get_leader(self.now_s)
         if leader:
             version = self.controls.cores[leader].state.version
@@ -204,26 +212,30 @@
             )
 
     @invariant()
-    def count_calm(self) -> None:
-        """Count steps since the last disturbance."""
-        self.calm_steps += 1
+    def count_steps_since_failure(self) -> None:
+        """Count steps since the last failure."""
+        self.steps_since_failure += 1
 
     @invariant()
     def deliver_all(self) -> None:
-        """Deliver what is on streams that are not slow."""
+        """Deliver all messages of streams that are not slow."""
         for index, node in enumerate(self.nodes):
             if not (node.is_frozen or node.stream):
                 self._connect(node)
-            while index not in self.slow and node.stream and not node.is_frozen:
+            while (
+                index not in self.slow_streams
+                and node.stream
+                and not node.is_frozen
+            ):
                 stream = node.stream
                 if not (stream.up or stream.down):
                     break
-                self._deliver_up(stream)
-                self._deliver_down(node, stream)
+                self._deliver_to_control(stream)
+                self._deliver_to_entry(node, stream)
 
     @invariant()
-    def settle_answers(self) -> None:
-        """Drop the limits that an answer shows to be out of force."""
+    def update_limits(self) -> None:
+        """Drop limits that an answer shows to be rejected or replaced."""
         for request_id, answer in self.controls.answers:
             if answer.outcome is None or request_id not in self.limits:
                 continue
@@ -237,7 +249,7 @@
                 self.limits.pop(request_id)
         self.controls.answers.clear()
 
-    def _notice_cut(self, choice: int) -> None:
+    def _close_stream_at_control(self, choice: int) -> None:
         ids = sorted(self.streams)
         if ids:
             node, stream = self.streams.pop(ids[choice % len(ids)])
@@ -249,7 +261,7 @@
     def _change_leader(self) -> None:
         self.controls.is_held = False
         self.controls.deliver(self.now_s)
-        self._collect()
+        self._queue_sent_messages()
         self.controls.frozen = {self.controls.get_leader(self.now_s)}
         while not self.controls.get_leader(self.now_s):
             self._advance(1)
@@ -257,36 +269,38 @@
         for node in self.nodes:
             node.stream = None
 
-    def _cut_off(self, index: int, choice: int) -> None:
-        """Cut one entry off for longer than its lease and any run."""
-        was_slow = index in self.slow
-        self.slow.add(index)
+    def _cut_off_entry(self, index: int, choice: int) -> None:
+        """Cut one entry off, possibly for longer than its lease and runs."""
+        was_slow = index in self.slow_streams
+        self.slow_streams.add(index)
         for _ in range(choice % 12):
             self._advance(1)
         if not was_slow:
-            self.slow.discard(index)
+            self.slow_streams.discard(index)
 
     def _advance(self, time_s: float) -> None:
         left_s = time_s
         while left_s > 0:
             self.now_s += min(1.0, left_s)
             left_s -= 1.0
-            self.works = [one for one in self.works if one.until_s > self.now_s]
+            self.running = [
+                one for one in self.running if one.until_s > self.now_s
+            ]
             self.controls.tick(self.now_s)
-            self._collect()
-            for work in tuple(self.awaited):
+            self._queue_sent_messages()
+            for work in tuple(self.pending):
                 if work.timeout_at_s <= self.now_s and not work.node.is_frozen:
                     self._end(work, entry.AttemptResult.timed_out)
             for node in self.nodes:
                 if not node.is_frozen:
                     self._announce(node)
-                    self._act(node, entry.Tick())
+                    self._step(node, entry.Tick())
             self.deliver_all()
 
     def _announce(self, node: Node) -> None:
         if self.now_s >= self._announced_s + 1:
             self._announced_s = self.now_s
-            self._act(node, self._announced)
+            self._step(node, self._announced)
 
     def _connect(self, node: Node) -> None:
         leader = self.controls.get_leader(self.now_s)
@@ -302,22 +316,22 @@
                 ),
                 self.now_s,
             )
-            self._collect()
+            self._queue_sent_messages()
 
-    def _deliver_up(self, stream: Stream) -> None:
+    def _deliver_to_control(self, stream: Stream) -> None:
         is_open = stream.stream_id in self.streams
         if stream.up and is_open:
             event = control.EntryMessageReceived(
                 stream.stream_id, stream.up.popleft()
             )
             self.controls.step(stream.control_name, event, self.now_s)
-            self._collect()
+            self._queue_sent_messages()
 
-    def _deliver_down(self, node: Node, stream: Stream) -> None:
+    def _deliver_to_entry(self, node: Node, stream: Stream) -> None:
         if stream.down and node.stream is stream and not node.is_frozen:
-            self._judge(node, node.take_down(self.now_s))
+            self._process_outputs(node, node.take_down(self.now_s))
 
-    def _collect(self) -> None:
+    def _queue_sent_messages(self) -> None:
         for sent in self.controls.to_entries:
             known = self.streams.get(sent.stream_id)
             if known is not None:
@@ -328,29 +342,33 @@
         leader = self.controls.get_leader(self.now_s)
         event = control.CommandRequested(request_id, command)  # type: ignore[arg-type]
         self.controls.step(leader, event, self.now_s)
-        self._collect()
+        self._queue_sent_messages()
 
-    def _end(self, work: Work, ending: entry.AttemptResult) -> None:
-        self.awaited.remove(work)
-        event = entry.AttemptEnded(work.request_id, ending)
-        self._act(work.node, event)
+    def _end(self, work: Work, result: entry.AttemptResult) -> None:
+        self.pending.remove(work)
+        event = entry.AttemptEnded(work.request_id, result)
+        self._step(work.node, event)
 
-    def _act(self, node: Node, event: entry.EntryEvent) -> None:
-        self._judge(node, node.step(event, self.now_s))
+    def _step(self, node: Node, event: entry.EntryEvent) -> None:
+        self._process_outputs(node, node.step(event, self.now_s))
 
-    def _judge(self, node: Node, outputs: list[entry.EntryOutput]) -> None:
+    def _process_outputs(
+        self, node: Node, outputs: list[entry.EntryOutput]
+    ) -> None:
         for output in outputs:
             if isinstance(output, entry.StartAttempt):
-                self._start(node, output)
+                self._check_start(node, output)
             elif isinstance(output, entry.ForwardAnswer | entry.RefuseRequest):
-                self._finish(node, output)
-
-    def _start(self, node: Node, attempt: entry.StartAttempt) -> None:
-        place = self._get_id(node, attempt.request_id)
-        assert place not in self.final, 'started after its final answer'
-        assert place not in self.ran, 'started twice'
-        self.ran.add(place)
-        self.settle_answers()
+                self._check_final_answer(node, output)
+
+    def _check_start(self, node: Node, attempt: entry.StartAttempt) -> None:
+        request_key = self._get_request_key(node, attempt.request_id)
+        assert request_key not in self.answered, (
+            'started after its final answer'
+        )
+        assert request_key not in self.started, 'started twice'
+        self.started.add(request_key)
+        self.update_limits()
         bound_s = node.core.state.document.pools[POOL].run_bound_s
         work = Work(
             node,
@@ -358,23 +376,27 @@
             self.now_s + bound_s,
             self.now_s + attempt.timeout_s,
         )
-        self.works.append(work)
-        self.awaited.append(work)
-        assert len(self.works) <= max(self.limits.values()), 'over the limit'
+        self.running.append(work)
+        self.pending.append(work)
+        assert len(self.running) <= max(self.limits.values()), 'over the limit'
 
-    def _finish(
+    def _check_final_answer(
         self,
         node: Node,
         output: entry.ForwardAnswer | entry.RefuseRequest,
     ) -> None:
-        place = self._get_id(node, output.request_id)
-        assert place not in self.final, 'answered twice'
-        self.final.add(place)
+        request_key = self._get_request_key(node, output.request_id)
+        assert request_key not in self.answered, 'answered twice'
+        self.answered.add(request_key)
         if isinstance(output, entry.RefuseRequest):
             is_not_run = output.refusal.outcome is RunOutcome.not_run
-            assert not is_not_run or place not in self.ran, 'it has run'
+            assert not is_not_run or request_key not in self.started, (
+                'it has run'
+            )
 
-    def _get_id(self, node: Node, request_id: int) -> tuple[str, int, int]:
+    def _get_request_key(
+        self, node: Node, request_id: int
+    ) -> tuple[str, int, int]:
         return (node.name, node.incarnation, request_id)
 
 
