--- a/bench/_forwarder.py
+++ b/bench/_forwarder.py
@@ -60,8 +60,8 @@
                 _HOST,
             ),
         )
-        assert attempt.answer is not None
-        self.finish(attempt.answer.body)
+        assert attempt.response is not None
+        self.finish(attempt.response.body)
 
 
 async def _serve(port: int, upstream_port: int, client: str) -> None:
--- a/src/sardinemast/platform/_exchanges.py
+++ b/src/sardinemast/platform/_exchanges.py
@@ -87,9 +87,9 @@
     """Tell what became of an order by how its request ended."""
     if attempt.attempt_result is AttemptResult.not_sent:
         return Reply(OrderOutcome.not_sent)
-    if attempt.answer is None or attempt.attempt_result not in _CERTAIN:
+    if attempt.response is None or attempt.attempt_result not in _CERTAIN:
         return Reply(OrderOutcome.unknown)
-    return _read_reply(attempt.answer.code, attempt.answer.body)
+    return _read_reply(attempt.response.code, attempt.response.body)
 
 
 def _read_reply(code: int, body: bytes) -> Reply:
--- a/src/sardinemast/platform/_run.py
+++ b/src/sardinemast/platform/_run.py
@@ -20,9 +20,9 @@
 from sardinemast.platform._workers import PlatformGateway
 from sardinemast.shell import (
     Access,
+    CallRoute,
     ControlExtras,
     LeaderRelay,
-    Way,
     create_identity,
     run_control,
 )
@@ -50,7 +50,9 @@
             settings.controls,
             settings.cluster,
             Access(settings.security, settings.cluster.bind_host),
-            Way.direct if 'control' in settings.roles else Way.passed,
+            CallRoute.direct
+            if 'control' in settings.roles
+            else CallRoute.forwarded,
         )
         self.metrics = ProcessMetrics()
         self.stopping = asyncio.Event()
@@ -107,7 +109,7 @@
     except CodedError as error:
         _log.warning('The settings stay as they are: {}', error)
         return
-    process.relay.follow(settings.controls)
+    process.relay.update_founders(settings.controls)
     _log.info('Settings read again: {} founders.', len(settings.controls))
 
 
--- a/src/sardinemast/platform/_services.py
+++ b/src/sardinemast/platform/_services.py
@@ -171,10 +171,10 @@
 
 
 def _read_body(attempt: RawAttempt, expected: type[_Body]) -> _Body | None:
-    if attempt.answer is None or attempt.answer.code != HTTPStatus.OK:
+    if attempt.response is None or attempt.response.code != HTTPStatus.OK:
         return None
     try:
-        return decode(attempt.answer.body, expected)  # type: ignore[no-any-return]
+        return decode(attempt.response.body, expected)  # type: ignore[no-any-return]
     except DECODE_ERRORS as error:
         _log.warning('{} is unreadable: {}.', expected.__name__, error)
         return None
--- a/src/sardinemast/platform/_workers.py
+++ b/src/sardinemast/platform/_workers.py
@@ -56,10 +56,10 @@
         self,
         order: DispatchOutput,
         valid_until_s: float,
-        take: Callable[[ControlEvent], None],
+        put_event: Callable[[ControlEvent], None],
     ) -> None:
         """Send an order, and hand over what became of it."""
-        task = asyncio.create_task(self._send(order, valid_until_s, take))
+        task = asyncio.create_task(self._send(order, valid_until_s, put_event))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -67,11 +67,11 @@
         self,
         order: DispatchOutput,
         valid_until_s: float,
-        take: Callable[[ControlEvent], None],
+        put_event: Callable[[ControlEvent], None],
     ) -> None:
         event = await self._carry_order(order, valid_until_s)
         if event is not None:
-            take(event)
+            put_event(event)
 
     @singledispatchmethod
     async def _carry(
--- a/src/sardinemast/shell/__init__.py
+++ b/src/sardinemast/shell/__init__.py
@@ -5,7 +5,7 @@
 from sardinemast.shell._gateway import ControlExtras, WorkerGateway
 from sardinemast.shell._http_connection import Header
 from sardinemast.shell._identity import Identity, create_identity
-from sardinemast.shell._relay import LeaderRelay, Way
+from sardinemast.shell._relay import CallRoute, LeaderRelay
 from sardinemast.shell._security import Access, create_client_context
 from sardinemast.shell._upstream_client import (
     RawAttempt,
@@ -21,7 +21,7 @@
     'LeaderRelay',
     'RawAttempt',
     'UpstreamClient',
-    'Way',
+    'CallRoute',
     'WorkerGateway',
     'create_client_context',
     'create_identity',
--- a/src/sardinemast/shell/_leader_http.py
+++ b/src/sardinemast/shell/_base_handlers.py
@@ -7,7 +7,7 @@
 from tornado.web import RequestHandler
 
 from sardinemast import control
-from sardinemast.shell._security import Access, Unit
+from sardinemast.shell._security import Access, CertificateUnit
 
 
 class Desk(Protocol):
@@ -28,7 +28,9 @@
         """Refuse whoever is no operator."""
         desk: Desk = self.desk
         connection: Any = self.request.connection
-        if not desk.access.is_allowed(connection.stream.socket, Unit.operator):
+        if not desk.access.is_allowed(
+            connection.stream.socket, CertificateUnit.operator
+        ):
             self.refuse(
                 HTTPStatus.FORBIDDEN,
                 'control.E003',
--- a/src/sardinemast/shell/_call_passing.py
+++ b/src/sardinemast/shell/_call_forwarder.py
@@ -15,9 +15,9 @@
     unpack_call,
 )
 from sardinemast.shell._identity import Identity
-from sardinemast.shell._links import Outbox, unseal_from
 from sardinemast.shell._relay import LeaderRelay
 from sardinemast.shell._security import Access
+from sardinemast.shell._websockets import Outbox, decode_frame_from
 
 # Streams take a control process that misses three beats for lost.
 _BEAT_S = 0.2
@@ -25,7 +25,7 @@
 _CALL_S = 10.0
 
 
-class CallPassing:
+class CallForwarder:
     """Pass calls on to the leader, over the one stream of this process.
 
     Each entry holds a stream to one control process, whichever leads. Held to
@@ -65,7 +65,7 @@
         outbox: Outbox,
         calling: dict[int, asyncio.Task[None]],
     ) -> None:
-        envelope = unseal_from(link, frame, self._identity, self._access)
+        envelope = decode_frame_from(link, frame, self._identity, self._access)
         passed = unpack_call(envelope.body)
         # After a change of leader an entry sends again what has no answer.
         if passed.call_id in calling:
--- a/src/sardinemast/shell/_caller_exchange.py
+++ b/src/sardinemast/shell/_caller_exchange.py
@@ -15,29 +15,29 @@
 )
 
 from sardinemast.admission import Arrival, Refusal
-from sardinemast.shell._arrivals import (
+from sardinemast.shell._headers import (
+    OUTCOME_HEADER,
+    filter_answer_headers,
+)
+from sardinemast.shell._http_connection import BODYLESS_CODES
+from sardinemast.shell._request_heads import (
     encode_refusal,
     is_unambiguous,
     read_arrival,
     refuse_body,
     refuse_malformed,
 )
-from sardinemast.shell._headers import (
-    OUTCOME_HEADER,
-    filter_answer_headers,
-)
-from sardinemast.shell._http_connection import BODYLESS_CODES
-from sardinemast.shell._upstream_client import CallerRequest, UpstreamAnswer
+from sardinemast.shell._upstream_client import CallerRequest, UpstreamResponse
 
 _WRITE_TIMEOUT_S = 30.0
 _DISCARD_S = 1.0
 _LONGEST_DISCARDED_BYTES = 16_777_216
 
-CallerAnswer = UpstreamAnswer | Refusal
-Answer = Callable[[CallerAnswer], None]
+CallerResponse = UpstreamResponse | Refusal
+Answer = Callable[[CallerResponse], None]
 
 
-class CallerDesk(Protocol):
+class CallerHandler(Protocol):
     """Say what an exchange needs of the entry."""
 
     def is_stopping(self) -> bool:
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        desk: CallerDesk,
+        desk: CallerHandler,
         connection: HTTP1Connection,
         remote_ip: str,
     ) -> None:
@@ -157,7 +157,7 @@
             return arrival
         return self._desk.check_head(arrival)
 
-    def _answer(self, answer: CallerAnswer) -> None:
+    def _answer(self, answer: CallerResponse) -> None:
         if self._is_answered:
             return
         self._is_answered = True
@@ -166,7 +166,7 @@
         else:
             self._write_answer(answer)
 
-    def _write_answer(self, answer: UpstreamAnswer) -> None:
+    def _write_answer(self, answer: UpstreamResponse) -> None:
         headers = filter_answer_headers(answer.headers)
         if self._start.method != 'HEAD' and answer.code not in BODYLESS_CODES:
             headers['Content-Length'] = str(len(answer.body))
--- a/src/sardinemast/shell/_caller_http.py
+++ b/src/sardinemast/shell/_caller_http.py
@@ -22,13 +22,13 @@
 from sardinemast import entry
 from sardinemast.conf import Address
 from sardinemast.membership import Announcement, is_valid_announcement
-from sardinemast.shell._arrivals import encode_refusal, refuse_malformed
-from sardinemast.shell._caller_exchange import CallerDesk, CallerExchange
+from sardinemast.shell._caller_exchange import CallerExchange, CallerHandler
+from sardinemast.shell._entry_metrics import EntryMetrics
 from sardinemast.shell._headers import OUTCOME_HEADER
 from sardinemast.shell._http_connection import MAX_HEAD_BYTES
 from sardinemast.shell._identity import Identity
-from sardinemast.shell._measures import EntryMeasures
 from sardinemast.shell._operator_http import TimelineHandler
+from sardinemast.shell._request_heads import encode_refusal, refuse_malformed
 from sardinemast.wire import WireError, load_plain
 
 _OWN_PATHS = '/-/'
@@ -54,10 +54,10 @@
 )
 
 
-class _Shell(CallerDesk, Protocol):
+class _Shell(CallerHandler, Protocol):
     identity: Identity
     loop: Any
-    measures: EntryMeasures
+    measures: EntryMetrics
 
     def is_ready(self) -> bool:
         """Tell whether the entry may serve."""
--- a/src/sardinemast/shell/_caller_streams.py
+++ b/src/sardinemast/shell/_caller_streams.py
@@ -9,8 +9,8 @@
 from sardinemast import control
 from sardinemast.protocol import LEADER_MESSAGES, PassAnswer, unpack_call
 from sardinemast.shell._identity import Identity
-from sardinemast.shell._links import Outbox, unseal_from
 from sardinemast.shell._security import Access
+from sardinemast.shell._websockets import Outbox, decode_frame_from
 
 
 class CallerStreams:
@@ -58,7 +58,9 @@
         stream_id: int,
     ) -> None:
         async for frame in link:
-            envelope = unseal_from(link, frame, self._identity, self._access)
+            envelope = decode_frame_from(
+                link, frame, self._identity, self._access
+            )
             passed = unpack_call(envelope.body)
             self._put(control.CallReceived(stream_id, *passed))
 
--- a/src/sardinemast/shell/_connections.py
+++ b/src/sardinemast/shell/_connection_pool.py
@@ -6,7 +6,7 @@
 from sardinemast.membership import Announcement
 from sardinemast.shell._http_connection import HttpConnection
 
-FRESH_S = 2.0
+MAX_IDLE_S = 2.0
 
 
 class ConnectionPool:
@@ -78,7 +78,7 @@
 
     def drop_stale(self, now_s: float) -> None:
         """Close what has shown no life for long."""
-        while self._idle and self._idle[0].idle_since_s < now_s - FRESH_S:
+        while self._idle and self._idle[0].idle_since_s < now_s - MAX_IDLE_S:
             self.drop(self._idle.popleft())
 
     def close(self) -> None:
--- a/src/sardinemast/shell/_control.py
+++ b/src/sardinemast/shell/_control.py
@@ -24,24 +24,27 @@
     ENTRY_MESSAGES,
     NotLeader,
 )
-from sardinemast.shell._call_passing import CallPassing
+from sardinemast.shell._call_forwarder import CallForwarder
 from sardinemast.shell._caller_streams import CallerStreams
 from sardinemast.shell._gateway import NO_EXTRAS, ControlExtras
 from sardinemast.shell._identity import Identity, get_wall_ms
-from sardinemast.shell._links import (
-    CALLS_PATH,
-    LINK_OPTIONS,
-    PASS_PATH,
-    Outbox,
-    unseal_from,
-)
 from sardinemast.shell._log_writer import LogWriter
 from sardinemast.shell._loop import CoreLoop
-from sardinemast.shell._operator_http import OperatorDesk, listen_for_operators
-from sardinemast.shell._peer_links import PeerLinks
-from sardinemast.shell._replica_http import ReplicaDesk
+from sardinemast.shell._operator_http import (
+    OperatorService,
+    listen_for_operators,
+)
+from sardinemast.shell._peer_senders import PeerSenders
+from sardinemast.shell._replica_http import ReplicaService
 from sardinemast.shell._security import Access
-from sardinemast.shell.exceptions import FolderDiscardedError, ShellError
+from sardinemast.shell._websockets import (
+    CALLS_PATH,
+    FORWARD_PATH,
+    WEBSOCKET_OPTIONS,
+    Outbox,
+    decode_frame_from,
+)
+from sardinemast.shell.exceptions import CoreFailedError, FolderReplacedError
 from sardinemast.storage import (
     StorageError,
     open_or_replace_log_store,
@@ -54,13 +57,13 @@
 _FOLDER_NAME = 'replica'
 # What comes within this time is written and synced together. It is a part of
 # the sync itself, which takes 4 to 9 ms on the disks that this is meant for.
-GATHER_S = 0.002
+BATCH_DELAY_S = 0.002
 # A full or hanging disk refuses for seconds; each try reads the whole log.
 _DISK_AGAIN_S = 0.5
 _REFUSED = frozenset(('storage.E002',))
 
 
-class ControlShell:
+class ControlServer:
     """Carry out what the core of a control process decides."""
 
     def __init__(
@@ -95,14 +98,14 @@
             settings.security,
             cluster.bind_host if cluster else '',
         )
-        self.desk = OperatorDesk(self.core, identity, self._access)
+        self.desk = OperatorService(self.core, identity, self._access)
         self.loop = CoreLoop[control.ControlEvent, control.ControlOutput](
             self._step,
             # Looked up once: each look-up makes a new function.
             self._execute,
             _make_tick,
         )
-        self._replica_desk = ReplicaDesk(
+        self._replica_desk = ReplicaService(
             self.core,
             self.loop.put,
             self._access,
@@ -111,11 +114,11 @@
         self._identity = identity
         self._stream_ids = count(1)
         self._outboxes: dict[int, Outbox] = {}
-        self._peers = PeerLinks(settings, identity, self._access)
+        self._peers = PeerSenders(settings, identity, self._access)
         self._callers = CallerStreams(identity, self._access, self.loop.put)
-        self._passing: CallPassing | None = None
+        self._passing: CallForwarder | None = None
         if extras.relay is not None:
-            self._passing = CallPassing(extras.relay, identity, self._access)
+            self._passing = CallForwarder(extras.relay, identity, self._access)
 
     async def run(self, own: ControlAddress) -> None:
         """Serve peers, entries and operators until cancelled."""
@@ -132,7 +135,7 @@
                     own.peer.host,
                     own.peer.port,
                     ssl=self._access.server_context,
-                    **LINK_OPTIONS,
+                    **WEBSOCKET_OPTIONS,
                 ),
                 asyncio.TaskGroup() as tasks,
             ):
@@ -173,19 +176,21 @@
                 await self._read_entry(link)
             elif path == CALLS_PATH:
                 await self._callers.read(link)
-            elif path == PASS_PATH and self._passing is not None:
+            elif path == FORWARD_PATH and self._passing is not None:
                 await self._passing.read(link)
 
     async def _read_peer(self, link: ServerConnection) -> None:
         async for frame in link:
-            envelope = unseal_from(link, frame, self._identity, self._access)
+            envelope = decode_frame_from(
+                link, frame, self._identity, self._access
+            )
             received = consensus.unpack_routed_message(
                 envelope.sender, envelope.body
             )
             self.loop.put(control.PeerMessageReceived(*received))
 
     async def _read_entry(self, link: ServerConnection) -> None:
-        first = unseal_from(
+        first = decode_frame_from(
             link,
             await link.recv(),
             self._identity,
@@ -205,7 +210,7 @@
         )
         try:
             async for frame in link:
-                envelope = unseal_from(
+                envelope = decode_frame_from(
                     link, frame, self._identity, self._access
                 )
                 message = ENTRY_MESSAGES.unpack(envelope.body)
@@ -265,7 +270,7 @@
         _log.warning(
             'The folder is set aside: {}.', set_folder_aside(self._folder)
         )
-        raise FolderDiscardedError
+        raise FolderReplacedError
 
     @_execute.register
     def _execute_repair(self, output: control.AnswerRepair) -> None:
@@ -295,7 +300,7 @@
     @_execute.register
     def _execute_gather(self, output: control.ScheduleProposals) -> None:
         asyncio.get_running_loop().call_later(
-            GATHER_S,
+            BATCH_DELAY_S,
             self.loop.put,
             control.ProposalsDue(),
         )
@@ -383,7 +388,7 @@
     extras: ControlExtras,
     own: ControlAddress,
 ) -> None:
-    shell = ControlShell(settings, identity, extras)
+    shell = ControlServer(settings, identity, extras)
     try:
         await shell.run(own)
     except ExceptionGroup as group:
@@ -400,8 +405,8 @@
     for error in group.exceptions:
         if isinstance(error, CodedError):
             raise error
-        if not isinstance(error, FolderDiscardedError):
-            raise ShellError(
+        if not isinstance(error, FolderReplacedError):
+            raise CoreFailedError(
                 'control.E003',
                 f'The core failed: {type(error).__name__}: {error}.',
                 'Report it with the log; the others go on.',
--- a/src/sardinemast/shell/_control_stream.py
+++ b/src/sardinemast/shell/_control_stream.py
@@ -14,13 +14,18 @@
     EntryMessage,
     NotLeader,
 )
-from sardinemast.shell._identity import Identity, seal
-from sardinemast.shell._links import LINK_ERRORS, Outbox, open_link, unseal_from
+from sardinemast.shell._identity import Identity, encode_frame
 from sardinemast.shell._security import Access
+from sardinemast.shell._websockets import (
+    CONNECTION_ERRORS,
+    Outbox,
+    decode_frame_from,
+    open_websocket,
+)
 from sardinemast.wire import WireError, dump_plain
 
 _log = Logger('entry')
-_STREAM_ERRORS = (*LINK_ERRORS, WireError)
+_STREAM_ERRORS = (*CONNECTION_ERRORS, WireError)
 _RECONNECT_S = 0.1
 _SILENCE_S = 1.0
 
@@ -68,8 +73,10 @@
         self._is_reported = True
 
     async def _read_control(self, address: ControlAddress) -> None:
-        async with open_link(address.peer, '/entry', self._access) as link:
-            await link.send(seal(self._identity, dump_plain(self.own_address)))
+        async with open_websocket(address.peer, '/entry', self._access) as link:
+            await link.send(
+                encode_frame(self._identity, dump_plain(self.own_address))
+            )
             outbox = Outbox(link.send, self._identity)
             sending = asyncio.create_task(outbox.run())
             self._outbox = outbox
@@ -82,7 +89,7 @@
         while True:
             async with asyncio.timeout(_SILENCE_S):
                 frame = await link.recv()
-            envelope = unseal_from(
+            envelope = decode_frame_from(
                 link,
                 frame,
                 self._identity,
--- a/src/sardinemast/shell/_entry.py
+++ b/src/sardinemast/shell/_entry.py
@@ -14,22 +14,22 @@
 from sardinemast.admission import Arrival, Refusal, refuse_not_run
 from sardinemast.conf import ProcessSettings
 from sardinemast.fleet import find_team_by_key, get_pool
-from sardinemast.shell._caller_exchange import Answer, CallerAnswer
+from sardinemast.shell._caller_exchange import Answer, CallerResponse
 from sardinemast.shell._caller_http import listen_for_callers
 from sardinemast.shell._control_stream import ControlStream
 from sardinemast.shell._drain import drain
+from sardinemast.shell._entry_metrics import EntryMetrics
 from sardinemast.shell._entry_peers import EntryPeers
 from sardinemast.shell._headers import IDEMPOTENCY_HEADER
-from sardinemast.shell._identity import Identity
-from sardinemast.shell._keyed_desk import KeyedDesk
-from sardinemast.shell._keyed_requests import (
+from sardinemast.shell._idempotent_requests import (
     check_key,
     digest_content,
     digest_parts,
     limit_deadline,
 )
+from sardinemast.shell._identity import Identity
+from sardinemast.shell._key_claims import KeyClaims
 from sardinemast.shell._loop import CoreLoop
-from sardinemast.shell._measures import EntryMeasures
 from sardinemast.shell._security import Access
 from sardinemast.shell._upstream_client import (
     Attempt,
@@ -41,7 +41,7 @@
 _COME_BACK_S = 1.0
 
 
-class EntryShell:
+class EntryServer:
     """Carry out what the core of an entry decides."""
 
     def __init__(self, settings: ProcessSettings, identity: Identity) -> None:
@@ -69,7 +69,7 @@
         self._writing: set[asyncio.Future[None]] = set()
         self._sending: set[asyncio.Task[None]] = set()
         self.client = UpstreamClient()
-        self.measures = EntryMeasures()
+        self.measures = EntryMetrics()
         self.peers = EntryPeers(identity, access)
         self.holds_keys = self.peers.holds_keys
         self.control = ControlStream(
@@ -78,7 +78,7 @@
             access,
             self._take_control,
         )
-        self._keys = KeyedDesk(self.peers, self._admit, self._answer)
+        self._keys = KeyClaims(self.peers, self._admit, self._answer)
 
     def is_ready(self) -> bool:
         """Tell the balancer whether to send requests here."""
@@ -212,8 +212,8 @@
             'answer passed',
             request=output.request_id,
         )
-        if attempt.answer is not None:
-            self._answer(output.request_id, attempt.answer)
+        if attempt.response is not None:
+            self._answer(output.request_id, attempt.response)
 
     @_execute.register
     def _execute_refuse(self, output: entry.RefuseRequest) -> None:
@@ -230,7 +230,7 @@
     def _execute_send(self, output: entry.SendToControl) -> None:
         self.control.send(output.message)
 
-    def _answer(self, request_id: int, answer: CallerAnswer) -> None:
+    def _answer(self, request_id: int, answer: CallerResponse) -> None:
         self._keys.note_answer(request_id, answer)
         self.measures.note_answer(request_id, answer)
         self._arrivals.pop(request_id, None)
@@ -274,7 +274,7 @@
 
 async def run_entry(settings: ProcessSettings, identity: Identity) -> None:
     """Run the role entry until cancelled; then finish what was taken."""
-    shell = EntryShell(settings, identity)
+    shell = EntryServer(settings, identity)
     async with shell.listen_for_peers(settings.callers.host):
         server = listen_for_callers(shell, settings.callers)
         serving = asyncio.create_task(_serve(shell))
@@ -289,7 +289,7 @@
             serving.cancel()
 
 
-async def _serve(shell: EntryShell) -> None:
+async def _serve(shell: EntryServer) -> None:
     async with asyncio.TaskGroup() as tasks:
         tasks.create_task(shell.loop.run())
         tasks.create_task(shell.client.run())
--- a/src/sardinemast/shell/_measures.py
+++ b/src/sardinemast/shell/_entry_metrics.py
@@ -6,7 +6,7 @@
 
 from sardinemast.admission import Refusal
 from sardinemast.metrics import Dimension, LatencyBook, render_metrics
-from sardinemast.shell._caller_exchange import CallerAnswer
+from sardinemast.shell._caller_exchange import CallerResponse
 
 _ANSWERED = 'answered'
 
@@ -18,7 +18,7 @@
     upstream: str = ''
 
 
-class EntryMeasures:
+class EntryMetrics:
     """Count final answers by code, and latencies of upstreams' answers."""
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         if begun is not None:
             self._begun[request_id] = begun._replace(upstream=upstream)
 
-    def note_answer(self, request_id: int, answer: CallerAnswer) -> None:
+    def note_answer(self, request_id: int, answer: CallerResponse) -> None:
         """Count a final answer."""
         begun = self._begun.pop(request_id, None)
         if isinstance(answer, Refusal):
--- a/src/sardinemast/shell/_entry_peers.py
+++ b/src/sardinemast/shell/_entry_peers.py
@@ -14,9 +14,13 @@
 from sardinemast.conf import Address
 from sardinemast.fleet import EntryProcess
 from sardinemast.shell._identity import Identity
-from sardinemast.shell._links import LINK_OPTIONS, PeerLink, unseal_from
 from sardinemast.shell._loop import CoreLoop
 from sardinemast.shell._security import Access
+from sardinemast.shell._websockets import (
+    WEBSOCKET_OPTIONS,
+    PeerSender,
+    decode_frame_from,
+)
 from sardinemast.wire import WireError
 
 _log = Logger('keys')
@@ -39,7 +43,7 @@
         self._epoch = 0
         self._addresses: dict[str, Address] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._outboxes: dict[str, PeerLink] = {}
+        self._outboxes: dict[str, PeerSender] = {}
         self._deciding: dict[int, Decide] = {}
 
     def holds_keys(self) -> bool:
@@ -54,7 +58,7 @@
             host,
             0,
             ssl=self._access.server_context,
-            **LINK_OPTIONS,
+            **WEBSOCKET_OPTIONS,
         ) as server:
             port = next(iter(server.sockets)).getsockname()[1]
             try:
@@ -97,7 +101,7 @@
         former = self._tasks.get(name)
         if former is not None:
             former.cancel()
-        link = PeerLink(self._identity, address, self._access)
+        link = PeerSender(self._identity, address, self._access)
         self._addresses[name] = address
         self._outboxes[name] = link
         self._tasks[name] = asyncio.create_task(link.run())
@@ -105,7 +109,7 @@
     async def _read(self, link: ServerConnection) -> None:
         with suppress(ConnectionClosed, WireError):
             async for frame in link:
-                envelope = unseal_from(
+                envelope = decode_frame_from(
                     link,
                     frame,
                     self._identity,
--- a/src/sardinemast/shell/_gateway.py
+++ b/src/sardinemast/shell/_gateway.py
@@ -12,7 +12,7 @@
 class WorkerGateway(Protocol):
     """Carry orders to workers and to whoever runs the instances.
 
-    ``send`` returns at once. It hands the answer to ``take`` later, also
+    ``send`` returns at once. It hands the answer to ``put_event`` later, also
     where there is none, and writes nothing once ``valid_until_s`` has passed
     on the monotonic clock.
     """
@@ -21,7 +21,7 @@
         self,
         order: DispatchOutput,
         valid_until_s: float,
-        take: Callable[[ControlEvent], None],
+        put_event: Callable[[ControlEvent], None],
     ) -> None:
         """Send one order."""
 
@@ -33,12 +33,12 @@
         self,
         order: DispatchOutput,
         valid_until_s: float,
-        take: Callable[[ControlEvent], None],
+        put_event: Callable[[ControlEvent], None],
     ) -> None:
         """Send nothing."""
         unsent = make_not_sent_event(order)
         if unsent is not None:
-            take(unsent)
+            put_event(unsent)
 
 
 class ControlExtras(NamedTuple):
--- a/src/sardinemast/shell/_http_connection.py
+++ b/src/sardinemast/shell/_http_connection.py
@@ -12,7 +12,7 @@
     HttpResponseParser,
 )
 
-MAX_ANSWER_BYTES = 4 * 1024 * 1024
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 MAX_HEAD_BYTES = 32768
 _UNACKNOWLEDGED_MS = 2000
 _FIRST_FINAL_CODE = 200
@@ -32,7 +32,7 @@
     is_head: bool = False
 
 
-class RawAnswer(NamedTuple):
+class RawResponse(NamedTuple):
     """Hold a whole answer."""
 
     code: int
@@ -55,7 +55,7 @@
         self._socket: socket.socket | None = None
         self._transport: asyncio.Transport | None = None
         self._parser = HttpResponseParser(self)
-        self._waiting: asyncio.Future[RawAnswer | None] | None = None
+        self._waiting: asyncio.Future[RawResponse | None] | None = None
         self._is_head = False
         self._may_reuse = True
         self._heads = 0
@@ -94,7 +94,7 @@
             return False
         return False
 
-    def begin(self, request: RawRequest) -> asyncio.Future[RawAnswer | None]:
+    def begin(self, request: RawRequest) -> asyncio.Future[RawResponse | None]:
         """Write a request; what is given has no answer where it broke off."""
         waiting = asyncio.get_running_loop().create_future()
         if self._transport is None or self._transport.is_closing():
@@ -183,7 +183,7 @@
     def on_body(self, part: bytes) -> None:
         """Take a part of the body."""
         self._body += part
-        if len(self._body) > MAX_ANSWER_BYTES:
+        if len(self._body) > MAX_RESPONSE_BYTES:
             self.close()
 
     def on_message_complete(self) -> None:
@@ -212,7 +212,7 @@
         if 'transfer-encoding' in headers:
             return 'content-length' not in headers
         with suppress(KeyError, ValueError):
-            return int(headers['content-length']) <= MAX_ANSWER_BYTES
+            return int(headers['content-length']) <= MAX_RESPONSE_BYTES
         return False
 
     def _finish(self) -> None:
@@ -222,7 +222,7 @@
             self.close()
             return
         self._end(
-            RawAnswer(
+            RawResponse(
                 self._code,
                 self._reason.decode(_ENCODING),
                 tuple(self._headers),
@@ -230,7 +230,7 @@
             ),
         )
 
-    def _end(self, answer: RawAnswer | None) -> None:
+    def _end(self, answer: RawResponse | None) -> None:
         waiting = self._waiting
         self._waiting = None
         if waiting is not None and not waiting.done():
--- a/src/sardinemast/shell/_keyed_requests.py
+++ b/src/sardinemast/shell/_idempotent_requests.py
@@ -18,7 +18,7 @@
     RequestEnded,
     StoredAnswer,
 )
-from sardinemast.shell._upstream_client import CallerRequest, UpstreamAnswer
+from sardinemast.shell._upstream_client import CallerRequest, UpstreamResponse
 
 _LONGEST_DEADLINE_S = 120.0
 _REPLAYED_HEADER = 'Idempotent-Replayed'
@@ -67,10 +67,10 @@
 
 def describe_outcome(
     request_id: int,
-    answer: UpstreamAnswer | Refusal,
+    answer: UpstreamResponse | Refusal,
 ) -> RequestEnded:
     """Give what holders of the key should know of an answer."""
-    if isinstance(answer, UpstreamAnswer):
+    if isinstance(answer, UpstreamResponse):
         stored = StoredAnswer(
             answer.code,
             answer.reason,
@@ -83,7 +83,7 @@
     return RequestEnded(request_id, ClaimOutcome.unknown)
 
 
-def answer_resend(decided: ClaimDecided) -> UpstreamAnswer | Refusal:
+def answer_resend(decided: ClaimDecided) -> UpstreamResponse | Refusal:
     """Give the answer to a request that may not run.
 
     All but the mismatch say "unknown": an earlier request with the key may
@@ -122,9 +122,9 @@
     )
 
 
-def _replay(stored: StoredAnswer) -> UpstreamAnswer:
+def _replay(stored: StoredAnswer) -> UpstreamResponse:
     headers = HTTPHeaders()
     for name, header in stored.headers:
         headers.add(name, header)
     headers[_REPLAYED_HEADER] = 'true'
-    return UpstreamAnswer(stored.code, stored.reason, headers, stored.body)
+    return UpstreamResponse(stored.code, stored.reason, headers, stored.body)
--- a/src/sardinemast/shell/_identity.py
+++ b/src/sardinemast/shell/_identity.py
@@ -34,7 +34,7 @@
     return Identity(name, incarnation, recorder)
 
 
-def seal(identity: Identity, body: Any) -> bytes:
+def encode_frame(identity: Identity, body: Any) -> bytes:
     """Put a body into a frame of this process."""
     stamp = identity.recorder.clock.stamp()
     return encode_envelope(
@@ -51,7 +51,7 @@
     )
 
 
-def unseal(identity: Identity, frame: Any) -> Envelope:
+def decode_frame(identity: Identity, frame: Any) -> Envelope:
     """Read a frame, or raise ``WireError``; later events follow it."""
     envelope = decode_envelope(frame if isinstance(frame, bytes) else b'')
     stamp = Stamp(envelope.wall_ms, envelope.counter)
--- a/src/sardinemast/shell/_keyed_desk.py
+++ b/src/sardinemast/shell/_key_claims.py
@@ -5,13 +5,16 @@
 from sardinemast import idempotency
 from sardinemast.admission import Refusal
 from sardinemast.shell._entry_peers import EntryPeers
-from sardinemast.shell._keyed_requests import answer_resend, describe_outcome
-from sardinemast.shell._upstream_client import UpstreamAnswer
+from sardinemast.shell._idempotent_requests import (
+    answer_resend,
+    describe_outcome,
+)
+from sardinemast.shell._upstream_client import UpstreamResponse
 
-_Answer = UpstreamAnswer | Refusal
+_Answer = UpstreamResponse | Refusal
 
 
-class KeyedDesk:
+class KeyClaims:
     """Claim keys before requests run, and tell how they ended."""
 
     def __init__(
--- a/src/sardinemast/shell/_operator_http.py
+++ b/src/sardinemast/shell/_operator_http.py
@@ -17,8 +17,8 @@
     describe_state,
     diff_versions,
 )
+from sardinemast.shell._base_handlers import LeaderHandler, OperatorHandler
 from sardinemast.shell._identity import Identity
-from sardinemast.shell._leader_http import LeaderHandler, OperatorHandler
 from sardinemast.shell._security import Access
 from sardinemast.wire import WireError, dump_plain
 
@@ -29,7 +29,7 @@
 _SETTLE_S = 0.002
 
 
-class OperatorDesk:
+class OperatorService:
     """Pair operators' requests with the answers of the core."""
 
     def __init__(
@@ -185,7 +185,7 @@
 
 
 def listen_for_operators(
-    desk: OperatorDesk,
+    desk: OperatorService,
     address: Address,
     more_routes: Sequence[Any] = (),
 ) -> HTTPServer:
--- a/src/sardinemast/shell/_peer_links.py
+++ b/src/sardinemast/shell/_peer_senders.py
@@ -5,11 +5,11 @@
 from sardinemast.conf import Address, ProcessSettings
 from sardinemast.consensus import SendMessage, pack_routed_message
 from sardinemast.shell._identity import Identity
-from sardinemast.shell._links import PeerLink
 from sardinemast.shell._security import Access
+from sardinemast.shell._websockets import PeerSender
 
 
-class PeerLinks:
+class PeerSenders:
     """Hold a stream to each peer, those that come later included.
 
     In a cluster a replica is named by its host, so that one that joins is
@@ -30,7 +30,7 @@
             for one in settings.controls
             if one.name != settings.name
         }
-        self._links: dict[str, PeerLink] = {}
+        self._links: dict[str, PeerSender] = {}
         self._tasks: asyncio.TaskGroup | None = None
 
     def start(self, tasks: asyncio.TaskGroup) -> None:
@@ -45,11 +45,11 @@
         if link is not None:
             link.send(pack_routed_message(output))
 
-    def _get(self, name: str) -> PeerLink | None:
+    def _get(self, name: str) -> PeerSender | None:
         link = self._links.get(name)
         address = self._find_address(name)
         if link is None and address is not None and self._tasks is not None:
-            link = PeerLink(self._identity, address, self._access)
+            link = PeerSender(self._identity, address, self._access)
             self._links[name] = link
             self._tasks.create_task(link.run())
         return link
--- a/src/sardinemast/shell/_relay.py
+++ b/src/sardinemast/shell/_relay.py
@@ -23,19 +23,19 @@
     pack_call,
 )
 from sardinemast.shell._identity import Identity
-from sardinemast.shell._links import (
+from sardinemast.shell._security import Access
+from sardinemast.shell._websockets import (
     CALLS_PATH,
-    LINK_ERRORS,
-    PASS_PATH,
+    CONNECTION_ERRORS,
+    FORWARD_PATH,
     Outbox,
-    open_link,
-    unseal_from,
+    decode_frame_from,
+    open_websocket,
 )
-from sardinemast.shell._security import Access
 from sardinemast.wire import WireError
 
 _log = Logger('relay')
-_STREAM_ERRORS = (*LINK_ERRORS, WireError)
+_STREAM_ERRORS = (*CONNECTION_ERRORS, WireError)
 # A leader beats five times a second; after three beats missed it is sought.
 _SILENCE_S = 0.6
 _RECONNECT_S = 0.05
@@ -56,7 +56,7 @@
     answer: asyncio.Future[CallAnswer]
 
 
-class Way(StrEnum):
+class CallRoute(StrEnum):
     """How calls reach the leader.
 
     A control process holds a stream to the leader itself, an entry one to any
@@ -64,7 +64,7 @@
     """
 
     direct = CALLS_PATH
-    passed = PASS_PATH
+    forwarded = FORWARD_PATH
 
 
 class LeaderRelay:
@@ -81,7 +81,7 @@
         founders: tuple[ControlAddress, ...],
         cluster: Cluster,
         access: Access,
-        way: Way = Way.direct,
+        way: CallRoute = CallRoute.direct,
         rng: Random | None = None,
     ) -> None:
         self.leader = ''
@@ -107,7 +107,7 @@
         """Tell whether a leader has been heard on the open stream."""
         return self._led.is_set()
 
-    def follow(self, founders: tuple[ControlAddress, ...]) -> None:
+    def update_founders(self, founders: tuple[ControlAddress, ...]) -> None:
         """Ask these control processes too, where none is known."""
         self._founders = [one.name for one in founders]
 
@@ -168,7 +168,7 @@
         self._names = [*rest, name]
 
     async def _read_leader(self, address: Address) -> None:
-        async with open_link(
+        async with open_websocket(
             address,
             self._way,
             self._access,
@@ -191,7 +191,7 @@
         while True:
             async with asyncio.timeout(_SILENCE_S):
                 frame = await link.recv()
-            envelope = unseal_from(
+            envelope = decode_frame_from(
                 link,
                 frame,
                 self._identity,
@@ -208,7 +208,7 @@
 
     def _must_leave(self, message: NotLeader) -> bool:
         """Note that there is no leader here; tell whether to go elsewhere."""
-        if self._way is Way.direct:
+        if self._way is CallRoute.direct:
             self._prefer(message.leader)
             return True
         # It will hear of the next leader soon. If each entry looked for that
@@ -228,7 +228,7 @@
             self._names = [self._names[0], leader, *rest]
 
     def _note_beat(self, beat: LeaderBeat) -> None:
-        first = beat.leader if self._way is Way.direct else self._names[0]
+        first = beat.leader if self._way is CallRoute.direct else self._names[0]
         others = [one for one in beat.controls if one != first]
         self._names = [first, *others]
         self.controls = beat.controls
--- a/src/sardinemast/shell/_replica_http.py
+++ b/src/sardinemast/shell/_replica_http.py
@@ -8,13 +8,13 @@
 from typing import Any
 
 from sardinemast import control
-from sardinemast.shell._leader_http import LeaderHandler
+from sardinemast.shell._base_handlers import LeaderHandler
 from sardinemast.shell._security import Access
 
 _ANSWER_TIMEOUT_S = 10.0
 
 
-class ReplicaDesk:
+class ReplicaService:
     """Pair requests for repair with the answers of the core."""
 
     def __init__(
--- a/src/sardinemast/shell/_security.py
+++ b/src/sardinemast/shell/_security.py
@@ -17,7 +17,7 @@
 _NAME_FIELD = 'commonName'
 
 
-class Unit(StrEnum):
+class CertificateUnit(StrEnum):
     """Say what the holder of a certificate may do."""
 
     process = 'process'
@@ -88,7 +88,9 @@
             return None
         return create_client_context(self._security)
 
-    def is_allowed(self, tls: Any, unit: Unit, name: str = '') -> bool:
+    def is_allowed(
+        self, tls: Any, unit: CertificateUnit, name: str = ''
+    ) -> bool:
         """Tell whether the other end may act as the unit, and as the name.
 
         ``tls`` is the connection's ``ssl_object``. Comparing the name keeps
--- a/src/sardinemast/shell/_upstream_client.py
+++ b/src/sardinemast/shell/_upstream_client.py
@@ -9,13 +9,13 @@
 
 from sardinemast.entry import AttemptResult, StartAttempt
 from sardinemast.membership import Announcement
-from sardinemast.shell._connections import FRESH_S, ConnectionPool
+from sardinemast.shell._connection_pool import MAX_IDLE_S, ConnectionPool
 from sardinemast.shell._headers import filter_request_headers
 from sardinemast.shell._http_connection import (
     Header,
     HttpConnection,
-    RawAnswer,
     RawRequest,
+    RawResponse,
 )
 
 _CONNECT_TIMEOUT_S = 1.0
@@ -34,7 +34,7 @@
     remote_ip: str
 
 
-class UpstreamAnswer(NamedTuple):
+class UpstreamResponse(NamedTuple):
     """Hold a whole answer."""
 
     code: int
@@ -47,14 +47,14 @@
     """Hold how an attempt ended, and the whole answer where there is one."""
 
     attempt_result: AttemptResult
-    answer: UpstreamAnswer | None = None
+    response: UpstreamResponse | None = None
 
 
 class RawAttempt(NamedTuple):
     """Hold how an attempt ended, with the answer's headers as they came."""
 
     attempt_result: AttemptResult
-    answer: RawAnswer | None = None
+    response: RawResponse | None = None
 
 
 class UpstreamClient:
@@ -66,7 +66,7 @@
     async def run(self) -> None:
         """Close what has gone stale, until cancelled."""
         while True:
-            await asyncio.sleep(FRESH_S)
+            await asyncio.sleep(MAX_IDLE_S)
             self._drop_stale()
 
     async def send(
@@ -82,15 +82,15 @@
             request.body,
         )
         attempt = await self.exchange(start, encoded)
-        if attempt.answer is None:
+        if attempt.response is None:
             return Attempt(attempt.attempt_result)
-        answer = attempt.answer
+        answer = attempt.response
         received = HTTPHeaders()
         for header in answer.headers:
             received.add(*header)
         return Attempt(
             attempt.attempt_result,
-            UpstreamAnswer(answer.code, answer.reason, received, answer.body),
+            UpstreamResponse(answer.code, answer.reason, received, answer.body),
         )
 
     async def exchange(
@@ -179,7 +179,7 @@
     connection: HttpConnection,
     request: RawRequest,
     left_s: float,
-) -> RawAnswer | None:
+) -> RawResponse | None:
     answered = connection.begin(request)
     ending = asyncio.get_running_loop().call_later(left_s, connection.time_out)
     try:
@@ -197,7 +197,7 @@
     return RawAttempt(AttemptResult.silent)
 
 
-def _judge(answer: RawAnswer | None) -> RawAttempt:
+def _judge(answer: RawResponse | None) -> RawAttempt:
     if answer is None:
         return RawAttempt(AttemptResult.broken)
     if answer.code in _FAILURE_CODES:
--- a/src/sardinemast/shell/_links.py
+++ b/src/sardinemast/shell/_websockets.py
@@ -12,8 +12,8 @@
 from websockets.exceptions import ConnectionClosed, InvalidHandshake
 
 from sardinemast.conf import Address
-from sardinemast.shell._identity import Identity, seal, unseal
-from sardinemast.shell._security import Access, Unit
+from sardinemast.shell._identity import Identity, decode_frame, encode_frame
+from sardinemast.shell._security import Access, CertificateUnit
 from sardinemast.wire import MAX_FRAME_BYTES, Envelope, WireError
 
 _log = Logger('link')
@@ -21,9 +21,9 @@
 _RECONNECT_S = 0.2
 _HEARTBEAT_S = 1.0
 CALLS_PATH = '/calls'
-PASS_PATH = '/pass'
+FORWARD_PATH = '/pass'
 
-LINK_OPTIONS: Mapping[str, Any] = MappingProxyType(
+WEBSOCKET_OPTIONS: Mapping[str, Any] = MappingProxyType(
     {
         'compression': None,
         'max_size': MAX_FRAME_BYTES,
@@ -32,11 +32,11 @@
         'close_timeout': _HEARTBEAT_S,
     }
 )
-LINK_ERRORS = (OSError, TimeoutError, ConnectionClosed, InvalidHandshake)
+CONNECTION_ERRORS = (OSError, TimeoutError, ConnectionClosed, InvalidHandshake)
 
 
 @asynccontextmanager
-async def open_link(
+async def open_websocket(
     address: Address,
     path: str,
     access: Access,
@@ -46,7 +46,7 @@
     context = access.create_client_context()
     scheme = 'wss' if context else 'ws'
     url = f'{scheme}://{address.host}:{address.port}{path}'
-    options = dict(LINK_OPTIONS)
+    options = dict(WEBSOCKET_OPTIONS)
     if access.source_host:
         options['local_addr'] = (access.source_host, 0)
     async with connect(
@@ -59,7 +59,7 @@
         yield link
 
 
-def unseal_from(
+def decode_frame_from(
     link: Connection,
     frame: Any,
     identity: Identity,
@@ -70,9 +70,9 @@
     Raises ``WireError`` for what is no frame, and ``wire.E006`` where the
     sender's name is not that of the certificate.
     """
-    envelope = unseal(identity, frame)
+    envelope = decode_frame(identity, frame)
     tls = link.transport.get_extra_info('ssl_object')
-    if not access.is_allowed(tls, Unit.process, envelope.sender):
+    if not access.is_allowed(tls, CertificateUnit.process, envelope.sender):
         raise WireError(
             'wire.E006',
             f'The certificate is not that of {envelope.sender!r}.',
@@ -80,7 +80,7 @@
     return envelope
 
 
-class PeerLink:
+class PeerSender:
     """Send messages to one peer, in order, over a stream that comes back.
 
     Messages that find no stream are dropped: the log's protocol repeats what
@@ -108,16 +108,16 @@
         while True:
             try:
                 await self._send_all()
-            except LINK_ERRORS as error:
+            except CONNECTION_ERRORS as error:
                 _log.debug('Link to {} is down: {}.', self._address, error)
             self._drop_queued()
             await asyncio.sleep(_RECONNECT_S)
 
     async def _send_all(self) -> None:
-        async with open_link(self._address, '/peer', self._access) as link:
+        async with open_websocket(self._address, '/peer', self._access) as link:
             while True:
                 body = await self._outbox.get()
-                await link.send(seal(self._identity, body))
+                await link.send(encode_frame(self._identity, body))
 
     def _drop_queued(self) -> None:
         while not self._outbox.empty():
@@ -144,4 +144,4 @@
         """Send until the stream ends."""
         while True:
             body = await self._queue.get()
-            await self._send(seal(self._identity, body))
+            await self._send(encode_frame(self._identity, body))
--- a/src/sardinemast/shell/exceptions.py
+++ b/src/sardinemast/shell/exceptions.py
@@ -3,9 +3,9 @@
 from sardinemast.exceptions import CodedError
 
 
-class ShellError(CodedError):
+class CoreFailedError(CodedError):
     """Report a core that cannot go on."""
 
 
-class FolderDiscardedError(Exception):
+class FolderReplacedError(Exception):
     """Start the role again with an empty folder."""
--- a/tests/processes/test_requests.py
+++ b/tests/processes/test_requests.py
@@ -17,7 +17,7 @@
 from builders.lossy_relays import run_relay
 from builders.processes import call, find_ports, wait_for
 from sardinemast.cli import commands
-from sardinemast.shell._connections import FRESH_S
+from sardinemast.shell._connection_pool import MAX_IDLE_S
 
 _CALLERS = 8
 _PATIENCE_S = 30
@@ -277,7 +277,7 @@
         )
         _wait_until_served(fleet, key)
         relay.forget()
-        time.sleep(FRESH_S)
+        time.sleep(MAX_IDLE_S)
         address = fleet.get_entry('entry-1')
         assert _ask(address, 'enrolment', key)[0] == HTTPStatus.OK
 
--- a/tests/shell/test_call_passing.py
+++ b/tests/shell/test_call_forwarder.py
@@ -21,8 +21,8 @@
     pack_call,
 )
 from sardinemast.shell import Access, create_identity
-from sardinemast.shell._call_passing import CallPassing
-from sardinemast.shell._identity import seal, unseal
+from sardinemast.shell._call_forwarder import CallForwarder
+from sardinemast.shell._identity import decode_frame, encode_frame
 
 _HOST = '127.0.0.1'
 _CALL = JobCall(JobAction.read, 'h', '/q/1', 'k')
@@ -53,7 +53,7 @@
 
 async def _run_test(test: Test) -> None:
     relay = FakeRelay()
-    passing = CallPassing(
+    passing = CallForwarder(
         relay,  # type: ignore[arg-type]
         create_identity('control-1'),
         Access(None),
@@ -69,7 +69,7 @@
     frame = await link.recv()
     assert isinstance(frame, bytes)
     message: LeaderMessage = LEADER_MESSAGES.unpack(
-        unseal(_ENTRY, frame).body,
+        decode_frame(_ENTRY, frame).body,
     )
     return message
 
@@ -82,7 +82,7 @@
 
 
 async def _send(link: ClientConnection, call_id: int) -> None:
-    await link.send(seal(_ENTRY, pack_call(PassCall(call_id, _CALL))))
+    await link.send(encode_frame(_ENTRY, pack_call(PassCall(call_id, _CALL))))
 
 
 def test_answer_comes_back_under_the_number_of_its_call() -> None:
--- a/tests/shell/test_caller_http.py
+++ b/tests/shell/test_caller_http.py
@@ -13,8 +13,8 @@
 from sardinemast.conf import Address
 from sardinemast.shell import _caller_exchange, create_identity
 from sardinemast.shell._caller_http import listen_for_callers
-from sardinemast.shell._measures import EntryMeasures
-from sardinemast.shell._upstream_client import CallerRequest, UpstreamAnswer
+from sardinemast.shell._entry_metrics import EntryMetrics
+from sardinemast.shell._upstream_client import CallerRequest, UpstreamResponse
 
 _LIMIT_BYTES = 8
 _MANY_TURNS = 50
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self.identity = create_identity('entry-1')
         self.loop: Any = None
-        self.measures = EntryMeasures()
+        self.measures = EntryMetrics()
         self.arrivals: list[Arrival] = []
         self.forgotten: list[int] = []
         self.writing: list[asyncio.Future[None]] = []
@@ -65,7 +65,7 @@
         self.arrivals.append(arrival)
         if self.gives_answers:
             answer(
-                UpstreamAnswer(
+                UpstreamResponse(
                     200, 'OK', HTTPHeaders(), self.body or request.body
                 )
             )
--- a/tests/shell/test_relay.py
+++ b/tests/shell/test_relay.py
@@ -21,8 +21,8 @@
     PassAnswer,
     unpack_call,
 )
-from sardinemast.shell import Access, LeaderRelay, Way, create_identity
-from sardinemast.shell._identity import Identity, seal, unseal
+from sardinemast.shell import Access, CallRoute, LeaderRelay, create_identity
+from sardinemast.shell._identity import Identity, decode_frame, encode_frame
 
 _FIRST = '127.0.0.2'
 _SECOND = '127.0.0.3'
@@ -33,11 +33,11 @@
 Test = Callable[[int, LeaderRelay], Awaitable[None]]
 
 
-def _run(test: Test, way: Way = Way.direct) -> None:
+def _run(test: Test, way: CallRoute = CallRoute.direct) -> None:
     asyncio.run(_run_test(test, way))
 
 
-async def _run_test(test: Test, way: Way) -> None:
+async def _run_test(test: Test, way: CallRoute) -> None:
     port = find_ports(1)[0]
     identity = create_identity('entry-1')
     founders = tuple(
@@ -68,7 +68,7 @@
         beating = asyncio.create_task(_beat(link, identity))
         try:
             async for frame in link:
-                passed = unpack_call(unseal(identity, frame).body)
+                passed = unpack_call(decode_frame(identity, frame).body)
                 answer = CallAnswer(outcomes.pop(0))
                 await _send(link, identity, PassAnswer(passed.call_id, answer))
         finally:
@@ -87,7 +87,7 @@
 async def _send(
     link: ServerConnection, identity: Identity, message: Any
 ) -> None:
-    await link.send(seal(identity, LEADER_MESSAGES.pack(message)))
+    await link.send(encode_frame(identity, LEADER_MESSAGES.pack(message)))
 
 
 async def _wait_connected(relay: LeaderRelay) -> None:
@@ -174,7 +174,7 @@
                 await _wait_connected(relay)
             assert opened == 1
 
-    _run(test, Way.passed)
+    _run(test, CallRoute.forwarded)
 
 
 def test_entry_leaves_a_process_that_never_hears_of_a_leader() -> None:
@@ -194,7 +194,7 @@
         ):
             await _wait_connected(relay)
 
-    _run(test, Way.passed)
+    _run(test, CallRoute.forwarded)
 
 
 def test_refusal_of_a_call_that_went_another_way_before_is_not_told() -> None:
@@ -218,4 +218,4 @@
                 answer = await relay.call(_CALL, 2)
         assert answer.outcome is CallOutcome.uncertain
 
-    _run(test, Way.passed)
+    _run(test, CallRoute.forwarded)
--- a/tests/shell/test_upstream_client.py
+++ b/tests/shell/test_upstream_client.py
@@ -16,8 +16,8 @@
     run_script,
 )
 from sardinemast.routing import AttemptResult
-from sardinemast.shell import _connections
-from sardinemast.shell._http_connection import MAX_ANSWER_BYTES
+from sardinemast.shell import _connection_pool
+from sardinemast.shell._http_connection import MAX_RESPONSE_BYTES
 from sardinemast.shell._upstream_client import (
     Attempt,
     UpstreamClient,
@@ -52,7 +52,7 @@
         + b'Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n',
         _HEAD + b'\r\nends with the connection',
         _HEAD + b'X: ' + b'x' * 70_000 + b'\r\nContent-Length: 0\r\n\r\n',
-        _HEAD + f'Content-Length: {MAX_ANSWER_BYTES + 1}\r\n\r\n'.encode(),
+        _HEAD + f'Content-Length: {MAX_RESPONSE_BYTES + 1}\r\n\r\n'.encode(),
         b'HTTP/1.1 100 Continue\r\n\r\n' * 50 + WHOLE,
         b'HTTP/1.1 101 Switching Protocols\r\n\r\nhello',
         b'no HTTP at all\r\n\r\n',
@@ -91,8 +91,8 @@
 ) -> None:
     """Each way in which HTTP ends an answer is understood."""
     attempt = _send_once(answer_with(answer), method)
-    assert attempt.answer is not None
-    assert attempt.answer.body == body
+    assert attempt.response is not None
+    assert attempt.response.body == body
 
 
 def _send_twice(play: Play, *, pause_s: float = 0.05) -> list[Attempt]:
@@ -127,7 +127,7 @@
 
 
 def _get_bodies(attempts: list[Attempt]) -> list[bytes]:
-    return [one.answer.body if one.answer else b'' for one in attempts]
+    return [one.response.body if one.response else b'' for one in attempts]
 
 
 def test_connection_is_used_again() -> None:
@@ -159,7 +159,7 @@
     Something between loses track of an idle connection. A booking sent on it
     would be answered by nobody and end as "unknown".
     """
-    monkeypatch.setattr(_connections, 'FRESH_S', 0.01)
+    monkeypatch.setattr(_connection_pool, 'MAX_IDLE_S', 0.01)
     assert _get_bodies(_send_twice(_numbered())) == [b'1', b'2']
 
 
