--- a/src/sardinemast/jobs/_apply.py
+++ b/src/sardinemast/jobs/_apply.py
@@ -104,7 +104,7 @@
     # now, so that their tasks restart before the old lease expires.
     for other in state.worker_index.list_colocated(worker):
         if worker.boot_ms > other.boot_ms:
-            _forget_worker(state, other)
+            _remove_worker(state, other)
     if worker.instance:
         state.home_pools.setdefault(worker.instance, worker.pool)
 
@@ -118,7 +118,7 @@
     worker = state.workers.get(command.name)
     if worker is None or worker.boot_ms != command.boot_ms:
         return
-    _forget_worker(state, worker)
+    _remove_worker(state, worker)
 
 
 @apply_command.register
@@ -143,7 +143,7 @@
 apply_command.register(commands.NoteMove, record_move)
 
 
-def _forget_worker(state: JobsState, worker: Worker) -> None:
+def _remove_worker(state: JobsState, worker: Worker) -> None:
     for task in tuple(state.runs.get(worker.name, ())):
         step = state.find_step(task)
         if step is not None:
--- a/src/sardinemast/jobs/_state.py
+++ b/src/sardinemast/jobs/_state.py
@@ -182,10 +182,10 @@
 
     def charge(self, step: Step, worker: str, team: str, sign: int) -> None:
         """Add (sign 1) or remove (sign -1) the usage of a run."""
-        used = self.by_team.get(team, ZERO_SIZE)
-        self.by_team[team] = used.plus(step.size, sign)
-        taken = self.by_worker.get(worker, ZERO_SIZE)
-        self.by_worker[worker] = taken.plus(step.reserved_size, sign)
+        team_usage = self.by_team.get(team, ZERO_SIZE)
+        self.by_team[team] = team_usage.plus(step.size, sign)
+        worker_usage = self.by_worker.get(worker, ZERO_SIZE)
+        self.by_worker[worker] = worker_usage.plus(step.reserved_size, sign)
         self.free.change(worker, step.reserved_size, -sign)
         if step.is_best_effort:
             self.best_effort_counts[worker] += sign
--- a/src/sardinemast/jobs/_worker_index.py
+++ b/src/sardinemast/jobs/_worker_index.py
@@ -48,8 +48,8 @@
         return [found[name] for name in sorted(found)]
 
 
-def _drop(places: _WorkersByName, place: str, name: str) -> None:
-    names = places.get(place, {})
-    names.pop(name, None)
-    if not names:
-        places.pop(place, None)
+def _drop(index: _WorkersByName, location: str, name: str) -> None:
+    workers = index.get(location, {})
+    workers.pop(name, None)
+    if not workers:
+        index.pop(location, None)
