--- a/src/sardinemast/cli/_client.py
+++ b/src/sardinemast/cli/_client.py
@@ -71,7 +71,7 @@
     )
 
 
-def fetch_from_any(address: str, path: str) -> dict[str, Any]:
+def fetch_any_scheme(address: str, path: str) -> dict[str, Any]:
     """Ask a control process, or an entry at its callers' address.
 
     Callers' addresses take plain HTTP behind the balancer also where control
--- a/src/sardinemast/cli/_timeline.py
+++ b/src/sardinemast/cli/_timeline.py
@@ -8,7 +8,7 @@
 from datetime import UTC, datetime
 from typing import NamedTuple
 
-from sardinemast.cli._client import fetch_from_any
+from sardinemast.cli._client import fetch_any_scheme
 from sardinemast.cli.exceptions import UsageError
 from sardinemast.timeline import (
     Stamp,
@@ -138,7 +138,7 @@
 
 
 def _fetch_events(address: str) -> list[TimelineEvent]:
-    found = fetch_from_any(address, '/-/timeline')
+    found = fetch_any_scheme(address, '/-/timeline')
     return [load_plain(TimelineEvent, one) for one in found['events']]
 
 
--- a/src/sardinemast/conf/_process_files.py
+++ b/src/sardinemast/conf/_process_files.py
@@ -73,7 +73,7 @@
     bind_host: str = ''
 
     @property
-    def listening(self) -> ControlAddress:
+    def listen_address(self) -> ControlAddress:
         """Give where this process itself listens."""
         if not self.bind_host:
             return self.own
--- a/src/sardinemast/metrics/__init__.py
+++ b/src/sardinemast/metrics/__init__.py
@@ -4,7 +4,7 @@
 from sardinemast.metrics._latencies import (
     Dimension,
     EncodedLatencies,
-    LatencyBook,
+    LatencyHistograms,
     LatencySummary,
     merge_latencies,
 )
@@ -14,7 +14,7 @@
     'Dimension',
     'EncodedLatencies',
     'Gauges',
-    'LatencyBook',
+    'LatencyHistograms',
     'LatencySummary',
     'ProcessMetrics',
     'merge_latencies',
--- a/src/sardinemast/metrics/_exposition.py
+++ b/src/sardinemast/metrics/_exposition.py
@@ -11,7 +11,7 @@
 )
 from prometheus_client.registry import Collector
 
-from sardinemast.metrics._latencies import Dimension, LatencyBook
+from sardinemast.metrics._latencies import Dimension, LatencyHistograms
 
 _US_PER_S = 1_000_000
 _BOUNDS_S = (0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10, 30, 100)
@@ -22,7 +22,7 @@
 class _Metrics(Collector):
     def __init__(
         self,
-        book: LatencyBook,
+        book: LatencyHistograms,
         counts: Mapping[str, int],
         gauges: Mapping[str, float],
     ) -> None:
@@ -64,7 +64,7 @@
 
 
 def render_metrics(
-    book: LatencyBook,
+    book: LatencyHistograms,
     counts: Mapping[str, int],
     gauges: Mapping[str, float],
 ) -> bytes:
--- a/src/sardinemast/metrics/_latencies.py
+++ b/src/sardinemast/metrics/_latencies.py
@@ -40,7 +40,7 @@
     worst_s: float
 
 
-class LatencyBook:
+class LatencyHistograms:
     """Count latencies of one entry since its start.
 
     At most ``MAX_NAMES`` names are told apart for each dimension and the
--- a/src/sardinemast/metrics/_process.py
+++ b/src/sardinemast/metrics/_process.py
@@ -35,11 +35,11 @@
         self._calls: Counter[tuple[str, str]] = Counter()
         self._latencies: dict[str, HdrHistogram] = {}
 
-    def note_decision(self, event: str) -> None:
+    def record_decision(self, event: str) -> None:
         """Count a decision."""
         self._decisions[event] += 1
 
-    def note_call(self, action: str, outcome: str, elapsed_s: float) -> None:
+    def record_call(self, action: str, outcome: str, elapsed_s: float) -> None:
         """Count a call and the time until its answer."""
         self._calls[action, outcome] += 1
         if action not in self._latencies:
--- a/src/sardinemast/platform/_front.py
+++ b/src/sardinemast/platform/_caller_http.py
@@ -9,11 +9,11 @@
 from tornado.httputil import HTTPServerRequest
 
 from sardinemast.metrics import ProcessMetrics
-from sardinemast.platform._answers import make_reply
-from sardinemast.platform._http import Reply
+from sardinemast.platform._decoding import DECODE_ERRORS, decode
+from sardinemast.platform._http_server import HttpResponse
 from sardinemast.platform._job_bodies import JobBody
+from sardinemast.platform._responses import make_response
 from sardinemast.platform._translate import make_request
-from sardinemast.platform._wire import DECODE_ERRORS, decode
 from sardinemast.protocol import CallOutcome, JobAction, JobCall
 from sardinemast.shell import LeaderRelay
 
@@ -40,18 +40,18 @@
         self._relay = relay
         self._metrics = metrics
 
-    async def handle(self, request: HTTPServerRequest) -> Reply:
+    async def handle(self, request: HTTPServerRequest) -> HttpResponse:
         """Answer a caller."""
         action = _ACTIONS.get(request.method or '')
         if action is None:
-            return Reply(HTTPStatus.METHOD_NOT_ALLOWED)
+            return HttpResponse(HTTPStatus.METHOD_NOT_ALLOWED)
         job = None
         if action is JobAction.submit:
             try:
                 job = make_request(decode(request.body, JobBody))
             except DECODE_ERRORS as error:
                 _log.info('Job refused: {} {}.', request.path, error)
-                return Reply(HTTPStatus.BAD_REQUEST)
+                return HttpResponse(HTTPStatus.BAD_REQUEST)
         call = JobCall(
             action,
             request.host.partition(':')[0],
@@ -63,7 +63,7 @@
         answer = await self._relay.call(call, _get_timeout_s(request))
         elapsed_s = time.monotonic() - begun_s
         outcome = answer.outcome.value
-        self._metrics.note_call(action.value, outcome, elapsed_s)
+        self._metrics.record_call(action.value, outcome, elapsed_s)
         _log.info(
             '{} {}: {} {}',
             request.method,
@@ -74,14 +74,14 @@
         body = b''
         if answer.outcome is CallOutcome.done and action is JobAction.read:
             body = _encode_reading(answer.status, answer.waiting)
-        return make_reply(answer, body)
+        return make_response(answer, body)
 
-    async def handle_ready(self, request: HTTPServerRequest) -> Reply:
+    async def handle_ready(self, request: HTTPServerRequest) -> HttpResponse:
         """Tell the balancer whether to send callers here."""
         is_ready = self._relay.is_connected and not self.is_stopping
         if is_ready:
-            return Reply(HTTPStatus.OK)
-        return Reply(HTTPStatus.SERVICE_UNAVAILABLE)
+            return HttpResponse(HTTPStatus.OK)
+        return HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 def _encode_reading(status: str, waiting: int) -> bytes:
--- a/src/sardinemast/platform/_control_http.py
+++ b/src/sardinemast/platform/_control_http.py
@@ -8,11 +8,11 @@
 from tornado.httputil import HTTPServerRequest
 
 from sardinemast.metrics import ProcessMetrics
-from sardinemast.platform._answers import make_reply
-from sardinemast.platform._http import Reply
+from sardinemast.platform._decoding import DECODE_ERRORS, decode
+from sardinemast.platform._http_server import HttpResponse
 from sardinemast.platform._job_bodies import ConfigBody
+from sardinemast.platform._responses import make_response
 from sardinemast.platform._translate import make_catalog, make_worker
-from sardinemast.platform._wire import DECODE_ERRORS, decode
 from sardinemast.platform._worker_bodies import BeatBody, WaveBody
 from sardinemast.protocol import (
     AnnounceWorker,
@@ -46,15 +46,15 @@
         self._relay = relay
         self._metrics = metrics
 
-    async def handle(self, request: HTTPServerRequest) -> Reply:
+    async def handle(self, request: HTTPServerRequest) -> HttpResponse:
         """Answer a worker or an operator."""
         try:
             call = _read_call(request)
         except DECODE_ERRORS as error:
             _log.info('{} {} refused: {}.', request.method, request.path, error)
-            return Reply(HTTPStatus.BAD_REQUEST)
+            return HttpResponse(HTTPStatus.BAD_REQUEST)
         if call is None:
-            return Reply(HTTPStatus.NOT_FOUND)
+            return HttpResponse(HTTPStatus.NOT_FOUND)
         timeout_s = _TIMEOUT_S
         if len(request.body) > _LARGE_BYTES:
             timeout_s = _LARGE_TIMEOUT_S
@@ -62,7 +62,7 @@
         answer = await self._relay.call(call, timeout_s)
         elapsed_s = time.monotonic() - begun_s
         action = type(call).__name__
-        self._metrics.note_call(action, answer.outcome.value, elapsed_s)
+        self._metrics.record_call(action, answer.outcome.value, elapsed_s)
         if not isinstance(call, AnnounceWorker):
             _log.info(
                 '{} {}: {} {}',
@@ -74,7 +74,7 @@
         body = b''
         if answer.outcome is CallOutcome.done:
             body = _make_body(call, answer.status, answer.source)
-        return make_reply(answer, body)
+        return make_response(answer, body)
 
 
 def _make_body(call: Call, status: str, source: bytes) -> bytes:
--- a/src/sardinemast/platform/_workers.py
+++ b/src/sardinemast/platform/_gateway.py
@@ -23,14 +23,14 @@
 )
 from sardinemast.jobs import Worker
 from sardinemast.membership import Announcement
-from sardinemast.platform._exchanges import (
-    Exchanges,
-    Reply,
-    judge,
+from sardinemast.platform._http_client import (
+    OrderReply,
+    PlatformClient,
+    classify_reply,
     make_attempt,
 )
 from sardinemast.platform._services import ServiceOrders
-from sardinemast.platform._translate import make_look_answer
+from sardinemast.platform._translate import make_worker_report
 
 
 class PlatformGateway:
@@ -42,15 +42,15 @@
         instances: Address | None,
         advice: Address | None = None,
     ) -> None:
-        self._exchanges = Exchanges(own_host)
-        self._services = ServiceOrders(self._exchanges, instances, advice)
+        self._client = PlatformClient(own_host)
+        self._services = ServiceOrders(self._client, instances, advice)
         self._tasks: set[asyncio.Task[None]] = set()
         # Each look-up of a dispatching method makes a new function.
         self._carry_order = self._carry
 
     async def run(self) -> None:
         """Close connections that have gone stale, until cancelled."""
-        await self._exchanges.run()
+        await self._client.run()
 
     def send(
         self,
@@ -129,7 +129,7 @@
         reply = await self._post(order, '/hold', body, valid_until_s)
         answer = None
         if reply.outcome is OrderOutcome.done and reply.body is not None:
-            answer = make_look_answer(reply.body)
+            answer = make_worker_report(reply.body)
         return WorkerPolled(
             order.worker.name,
             order.fence,
@@ -199,11 +199,13 @@
         path: str,
         body: dict[str, Any],
         valid_until_s: float,
-    ) -> Reply:
+    ) -> OrderReply:
         upstream = _make_announcement(order.worker)
         start = make_attempt(upstream, order.timeout_s, valid_until_s)
         expected = ('X-Expect-Instance', order.worker.name)
-        return judge(await self._exchanges.post(start, path, body, expected))
+        return classify_reply(
+            await self._client.post(start, path, body, expected)
+        )
 
 
 def _make_announcement(worker: Worker) -> Announcement:
--- a/src/sardinemast/platform/_exchanges.py
+++ b/src/sardinemast/platform/_http_client.py
@@ -8,7 +8,7 @@
 
 from sardinemast.dispatch import OrderOutcome
 from sardinemast.membership import Announcement
-from sardinemast.platform._wire import DECODE_ERRORS, decode
+from sardinemast.platform._decoding import DECODE_ERRORS, decode
 from sardinemast.platform._worker_bodies import ListsBody
 from sardinemast.routing import AttemptResult, StartAttempt
 from sardinemast.shell import (
@@ -25,15 +25,15 @@
 _JSON_HEADER = ('Content-Type', 'application/json')
 
 
-class Reply(NamedTuple):
+class OrderReply(NamedTuple):
     """Hold what became of an order, and the body where there is one."""
 
     outcome: OrderOutcome
     body: ListsBody | None = None
-    is_bad: bool = False
+    is_invalid_request: bool = False
 
 
-class Exchanges:
+class PlatformClient:
     """Send requests of this process, each at most once."""
 
     def __init__(self, own_host: str) -> None:
@@ -83,26 +83,26 @@
     )
 
 
-def judge(attempt: RawAttempt) -> Reply:
+def classify_reply(attempt: RawAttempt) -> OrderReply:
     """Tell what became of an order by how its request ended."""
     if attempt.attempt_result is AttemptResult.not_sent:
-        return Reply(OrderOutcome.not_sent)
+        return OrderReply(OrderOutcome.not_sent)
     if attempt.response is None or attempt.attempt_result not in _CERTAIN:
-        return Reply(OrderOutcome.unknown)
+        return OrderReply(OrderOutcome.unknown)
     return _read_reply(attempt.response.code, attempt.response.body)
 
 
-def _read_reply(code: int, body: bytes) -> Reply:
+def _read_reply(code: int, body: bytes) -> OrderReply:
     if code == HTTPStatus.MISDIRECTED_REQUEST:
-        return Reply(OrderOutcome.gone)
+        return OrderReply(OrderOutcome.gone)
     try:
         found = decode(body, ListsBody) if body else None
     except DECODE_ERRORS as error:
         # Another program may answer at the address. Without its lists
         # nothing is known of the runs, which is what unknown says.
         _log.warning('A worker answered {} unreadably: {}.', code, error)
-        return Reply(OrderOutcome.unknown)
+        return OrderReply(OrderOutcome.unknown)
     if code == HTTPStatus.OK:
-        return Reply(OrderOutcome.done, found)
-    is_bad = code == HTTPStatus.BAD_REQUEST
-    return Reply(OrderOutcome.refused, found, is_bad)
+        return OrderReply(OrderOutcome.done, found)
+    is_invalid_request = code == HTTPStatus.BAD_REQUEST
+    return OrderReply(OrderOutcome.refused, found, is_invalid_request)
--- a/src/sardinemast/platform/_http.py
+++ b/src/sardinemast/platform/_http_server.py
@@ -20,7 +20,7 @@
 _BODY_LIMIT_BYTES = 4 * 1024 * 1024
 
 
-class Reply(NamedTuple):
+class HttpResponse(NamedTuple):
     """Hold an answer; above 0 ``retry_after_s`` says when to come back."""
 
     code: int
@@ -29,10 +29,10 @@
     content_type: str = 'application/json'
 
 
-Handle = Callable[[HTTPServerRequest], Awaitable[Reply]]
+Handle = Callable[[HTTPServerRequest], Awaitable[HttpResponse]]
 
 
-class SmallServer:
+class RequestServer:
     """Answer requests by a function, and know how many are under way."""
 
     def __init__(self, handle: Handle) -> None:
--- a/src/sardinemast/platform/_metrics.py
+++ b/src/sardinemast/platform/_metrics_http.py
@@ -5,7 +5,7 @@
 from tornado.httputil import HTTPServerRequest
 
 from sardinemast.metrics import ProcessMetrics
-from sardinemast.platform._http import Reply
+from sardinemast.platform._http_server import HttpResponse
 
 _PATH = '/metrics'
 
@@ -16,9 +16,9 @@
     def __init__(self, metrics: ProcessMetrics) -> None:
         self._metrics = metrics
 
-    async def handle(self, request: HTTPServerRequest) -> Reply:
+    async def handle(self, request: HTTPServerRequest) -> HttpResponse:
         """Answer one reading."""
         if request.path != _PATH:
-            return Reply(HTTPStatus.NOT_FOUND)
+            return HttpResponse(HTTPStatus.NOT_FOUND)
         body = self._metrics.render()
-        return Reply(HTTPStatus.OK, body, content_type='text/plain')
+        return HttpResponse(HTTPStatus.OK, body, content_type='text/plain')
--- a/src/sardinemast/platform/_answers.py
+++ b/src/sardinemast/platform/_responses.py
@@ -3,7 +3,7 @@
 from http import HTTPStatus
 from types import MappingProxyType
 
-from sardinemast.platform._http import Reply
+from sardinemast.platform._http_server import HttpResponse
 from sardinemast.protocol import CallAnswer, CallOutcome
 
 # A leader that is lost is replaced within about a second.
@@ -23,9 +23,9 @@
 )
 
 
-def make_reply(answer: CallAnswer, body: bytes = b'') -> Reply:
+def make_response(answer: CallAnswer, body: bytes = b'') -> HttpResponse:
     """Give the HTTP answer."""
     retry_after_s = 0
     if answer.outcome in {CallOutcome.refused, CallOutcome.uncertain}:
         retry_after_s = _RETRY_AFTER_S
-    return Reply(_CODES[answer.outcome], body, retry_after_s)
+    return HttpResponse(_CODES[answer.outcome], body, retry_after_s)
--- a/src/sardinemast/platform/_run.py
+++ b/src/sardinemast/platform/_run.py
@@ -13,11 +13,11 @@
 from sardinemast.dispatch import DispatchSettings
 from sardinemast.exceptions import CodedError
 from sardinemast.metrics import ProcessMetrics
+from sardinemast.platform._caller_http import Front
 from sardinemast.platform._control_http import ControlFront
-from sardinemast.platform._front import Front
-from sardinemast.platform._http import SmallServer
-from sardinemast.platform._metrics import MetricsTeller
-from sardinemast.platform._workers import PlatformGateway
+from sardinemast.platform._gateway import PlatformGateway
+from sardinemast.platform._http_server import RequestServer
+from sardinemast.platform._metrics_http import MetricsTeller
 from sardinemast.shell import (
     Access,
     CallRoute,
@@ -96,7 +96,7 @@
         return
     teller = MetricsTeller(process.metrics)
     try:
-        SmallServer(teller.handle).listen(address)
+        RequestServer(teller.handle).listen(address)
     except OSError as error:
         # Whoever reads metrics sees that; callers must not do without the
         # process because its port for them is taken.
@@ -115,9 +115,9 @@
 
 async def _run_entry(process: Process) -> None:
     front = Front(process.relay, process.metrics)
-    server = SmallServer(front.handle)
+    server = RequestServer(front.handle)
     server.listen(_get_address(process.settings.callers))
-    readiness = SmallServer(front.handle_ready)
+    readiness = RequestServer(front.handle_ready)
     readiness.listen(_get_address(process.settings.readiness))
     await process.stopping.wait()
     front.is_stopping = True
@@ -129,7 +129,7 @@
 async def _run_control(process: Process) -> None:
     address = _get_address(process.settings.operators)
     control_front = ControlFront(process.relay, process.metrics)
-    server = SmallServer(control_front.handle)
+    server = RequestServer(control_front.handle)
     server.listen(address)
     gateway = PlatformGateway(
         process.cluster.own.peer.host,
@@ -156,7 +156,7 @@
             task.cancel()
 
 
-async def _drain(server: SmallServer) -> None:
+async def _drain(server: RequestServer) -> None:
     with suppress(TimeoutError):
         async with asyncio.timeout(_DRAIN_S):
             while server.busy:
--- a/src/sardinemast/platform/_services.py
+++ b/src/sardinemast/platform/_services.py
@@ -20,14 +20,14 @@
     RequestAdvice,
 )
 from sardinemast.membership import Announcement
-from sardinemast.platform._exchanges import (
-    Exchanges,
-    Reply,
-    judge,
+from sardinemast.platform._decoding import DECODE_ERRORS, decode
+from sardinemast.platform._http_client import (
+    OrderReply,
+    PlatformClient,
+    classify_reply,
     make_attempt,
 )
 from sardinemast.platform._translate import make_instance, make_tickets
-from sardinemast.platform._wire import DECODE_ERRORS, decode
 from sardinemast.platform._worker_bodies import GrantedBody, MachinesBody
 from sardinemast.routing import StartAttempt
 from sardinemast.shell import RawAttempt
@@ -48,11 +48,11 @@
 
     def __init__(
         self,
-        exchanges: Exchanges,
+        client: PlatformClient,
         instances: Address | None,
         advice: Address | None,
     ) -> None:
-        self._exchanges = exchanges
+        self._client = client
         self._instances = instances
         self._advice = advice
 
@@ -74,7 +74,7 @@
             order.wave,
             order.boot_ms,
             reply.outcome,
-            reply.is_bad,
+            reply.is_invalid_request,
             (reply.body or {}).get('reason', ''),
         )
 
@@ -107,7 +107,7 @@
             'workers': [worker.name for worker in order.workers],
         }
         start = _make_start(self._advice, order.timeout_s, valid_until_s)
-        attempt = await self._exchanges.post(start, '/advise', body)
+        attempt = await self._client.post(start, '/advise', body)
         granted = _read_body(attempt, GrantedBody)
         if granted is None:
             return unanswered
@@ -125,7 +125,7 @@
         listed: list[ListedInstance] = []
         path = _LIST_PATH
         while len(listed) < _INSTANCES_MAX:
-            attempt = await self._exchanges.get(start, path)
+            attempt = await self._client.get(start, path)
             page = _read_body(attempt, MachinesBody)
             if page is None:
                 result = attempt.attempt_result
@@ -145,18 +145,18 @@
         path: str,
         body: dict[str, Any],
         valid_until_s: float,
-    ) -> Reply:
+    ) -> OrderReply:
         if self._instances is None:
-            return Reply(OrderOutcome.not_sent)
+            return OrderReply(OrderOutcome.not_sent)
         start = _make_start(self._instances, order.timeout_s, valid_until_s)
-        attempt = await self._exchanges.post(
+        attempt = await self._client.post(
             start,
             path,
             body,
-            ('X-Lease-Holder', self._exchanges.own_host),
+            ('X-Lease-Holder', self._client.own_host),
             ('X-Fence-Token', str(order.token)),
         )
-        return judge(attempt)
+        return classify_reply(attempt)
 
 
 def _make_start(
--- a/src/sardinemast/platform/_translate.py
+++ b/src/sardinemast/platform/_translate.py
@@ -101,7 +101,7 @@
     )
 
 
-def make_look_answer(body: ListsBody) -> WorkerReport:
+def make_worker_report(body: ListsBody) -> WorkerReport:
     """Give what a worker lists, without rows that make no sense."""
     return WorkerReport(
         body.get('born', 0),
--- a/src/sardinemast/shell/_control.py
+++ b/src/sardinemast/shell/_control.py
@@ -328,7 +328,7 @@
     def _execute_log(self, output: dispatch.LogDecision) -> None:
         extra = {'subject': output.subject, **output.details}
         _decisions.info('{}', output.event, extra=extra)
-        self._metrics.note_decision(output.event)
+        self._metrics.record_decision(output.event)
 
 
 def _make_tick() -> control.Tick:
@@ -397,7 +397,7 @@
 
 def _get_listening(settings: ProcessSettings) -> ControlAddress:
     if settings.cluster is not None:
-        return settings.cluster.listening
+        return settings.cluster.listen_address
     return next(one for one in settings.controls if one.name == settings.name)
 
 
--- a/src/sardinemast/shell/_entry_metrics.py
+++ b/src/sardinemast/shell/_entry_metrics.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from sardinemast.admission import Refusal
-from sardinemast.metrics import Dimension, LatencyBook, render_metrics
+from sardinemast.metrics import Dimension, LatencyHistograms, render_metrics
 from sardinemast.shell._caller_exchange import CallerResponse
 
 _ANSWERED = 'answered'
@@ -22,7 +22,7 @@
     """Count final answers by code, and latencies of upstreams' answers."""
 
     def __init__(self) -> None:
-        self._book = LatencyBook()
+        self._book = LatencyHistograms()
         self._counts: Counter[str] = Counter()
         self._begun: dict[int, _Begun] = {}
 
--- a/tests/metrics/test_latencies.py
+++ b/tests/metrics/test_latencies.py
@@ -4,15 +4,15 @@
 
 from sardinemast.metrics import (
     Dimension,
-    LatencyBook,
+    LatencyHistograms,
     merge_latencies,
     render_metrics,
 )
 from sardinemast.metrics._latencies import MAX_NAMES
 
 
-def _fill(elapsed_s: float, count: int) -> LatencyBook:
-    book = LatencyBook()
+def _fill(elapsed_s: float, count: int) -> LatencyHistograms:
+    book = LatencyHistograms()
     for _ in range(count):
         book.record({Dimension.team: 'petits-pixels'}, elapsed_s)
     return book
@@ -33,7 +33,7 @@
 
 def test_names_are_bounded() -> None:
     """Names past the bound are counted together."""
-    book = LatencyBook()
+    book = LatencyHistograms()
     for number in range(MAX_NAMES + 5):
         book.record({Dimension.upstream: f'enrol-{number}'}, 0.1)
     by_name = book.get_histograms(Dimension.upstream)
--- a/tests/metrics/test_process_metrics.py
+++ b/tests/metrics/test_process_metrics.py
@@ -6,10 +6,10 @@
 def test_calls_decisions_and_current_figures_are_told() -> None:
     """An engineer at night sees what was asked, decided, and what waits."""
     metrics = ProcessMetrics()
-    metrics.note_call('submit', 'done', 0.02)
-    metrics.note_call('submit', 'refused', 0.15)
-    metrics.note_decision('run.started')
-    metrics.note_decision('run.started')
+    metrics.record_call('submit', 'done', 0.02)
+    metrics.record_call('submit', 'refused', 0.15)
+    metrics.record_decision('run.started')
+    metrics.record_decision('run.started')
     metrics.list_gauges = lambda: {'tasks_waiting': {'booking': 7}}
     text = metrics.render().decode()
     assert 'sardinemast_decisions_total{event="run.started"} 2.0' in text
--- a/tests/platform/test_translate.py
+++ b/tests/platform/test_translate.py
@@ -7,15 +7,15 @@
 
 from sardinemast.dispatch import ReportedEnd, ReportedRun
 from sardinemast.jobs import TaskKey, check_catalog
+from sardinemast.platform._decoding import DECODE_ERRORS, decode
 from sardinemast.platform._job_bodies import ConfigBody, JobBody
 from sardinemast.platform._translate import (
     make_catalog,
-    make_look_answer,
     make_request,
     make_worker,
+    make_worker_report,
     read_task,
 )
-from sardinemast.platform._wire import DECODE_ERRORS, decode
 from sardinemast.platform._worker_bodies import BeatBody, ListsBody
 
 _MIB = 1024 * 1024
@@ -150,7 +150,7 @@
         b'{"wall_ms":9,"born":5,"running":[["odd",1],["j.0.1.2",3,"c",40,7]],'
         b'"finished":[[1,"j.0.0.x",1,"done",""],[2,"j.0.0.1",1,"done","z"]]}'
     )
-    answer = make_look_answer(decode(body, ListsBody))
+    answer = make_worker_report(decode(body, ListsBody))
     assert answer.boot_ms == 5
     assert answer.running == (
         ReportedRun(TaskKey('j', 0, 1, 2), 3, 'c', 40, 7),
--- a/tests/soak/instances.py
+++ b/tests/soak/instances.py
@@ -9,7 +9,7 @@
 from tornado.httputil import HTTPServerRequest
 
 from sardinemast.conf import Address
-from sardinemast.platform._http import Reply, SmallServer
+from sardinemast.platform._http_server import HttpResponse, RequestServer
 from soak.ledger import Ledger
 from soak.workers import Worker
 
@@ -36,7 +36,7 @@
         self._ledger = ledger
         self._busy: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._server = SmallServer(self._handle)
+        self._server = RequestServer(self._handle)
         self._server.listen(address)
 
     async def stop(self) -> None:
@@ -53,13 +53,13 @@
         else:
             self._workers[instance].begin(pool)
 
-    async def _handle(self, request: HTTPServerRequest) -> Reply:
+    async def _handle(self, request: HTTPServerRequest) -> HttpResponse:
         if request.path == '/machines':
             return _make_reply(200, machines=self._list())
         body = json.loads(request.body)
         instance = body['machine']
         if instance not in self.pools:
-            return Reply(400)
+            return HttpResponse(400)
         if request.path == '/machine-upkeep':
             return self._maintain(request, instance, body['wave'])
         return self._move(request, instance, body['pool'])
@@ -80,34 +80,34 @@
         request: HTTPServerRequest,
         instance: str,
         wave: int,
-    ) -> Reply:
+    ) -> HttpResponse:
         maintained = self.maintained.get(wave)
         if maintained is None:
             return _make_reply(409, reason='wave')
         if instance in maintained:
-            return Reply(200)
+            return HttpResponse(200)
         if instance in self._busy:
             return _make_reply(409, reason='busy')
         self._note_order(request, instance)
         maintained.add(instance)
         self._ledger.note_down(wave, instance, self.caps[wave])
         self._spawn(self._restart(instance, _UPKEEP_S, wave))
-        return Reply(200)
+        return HttpResponse(200)
 
     def _move(
         self,
         request: HTTPServerRequest,
         instance: str,
         pool: str,
-    ) -> Reply:
+    ) -> HttpResponse:
         if self.pools[instance] == pool:
-            return Reply(200)
+            return HttpResponse(200)
         if instance in self._busy:
             return _make_reply(409, reason='busy')
         self._note_order(request, instance)
         self.pools[instance] = pool
         self._spawn(self._restart(instance, _MOVE_S))
-        return Reply(200)
+        return HttpResponse(200)
 
     def _note_order(self, request: HTTPServerRequest, instance: str) -> None:
         self._ledger.note_order(
@@ -137,5 +137,5 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _make_reply(code: int, **fields: Any) -> Reply:
-    return Reply(code, json.dumps(fields).encode())
+def _make_reply(code: int, **fields: Any) -> HttpResponse:
+    return HttpResponse(code, json.dumps(fields).encode())
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -15,7 +15,7 @@
 from tornado.httputil import HTTPServerRequest
 
 from sardinemast.conf import Address
-from sardinemast.platform._http import Reply, SmallServer
+from sardinemast.platform._http_server import HttpResponse, RequestServer
 from soak.ledger import Ledger, read_task
 
 _MS = 1000
@@ -75,7 +75,7 @@
         self._sequence = count(1)
         self._changed = asyncio.Condition()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._server = SmallServer(self._handle)
+        self._server = RequestServer(self._handle)
         self._server.listen(address)
 
     def begin(self, pool: str) -> None:
@@ -127,22 +127,22 @@
             'wall_ms': life.get_clock_ms(),
         }
 
-    async def _handle(self, request: HTTPServerRequest) -> Reply:
+    async def _handle(self, request: HTTPServerRequest) -> HttpResponse:
         if self.is_silent:
             await asyncio.sleep(_SILENT_S)
-            return Reply(503)
+            return HttpResponse(503)
         if self._random.random() < self.late_share:
             await asyncio.sleep(self._random.uniform(*_LATE_S))
             await self._answer(request)
             await asyncio.sleep(_SILENT_S)
-            return Reply(503)
+            return HttpResponse(503)
         return await self._answer(request)
 
-    async def _answer(self, request: HTTPServerRequest) -> Reply:
+    async def _answer(self, request: HTTPServerRequest) -> HttpResponse:
         life = self.life
         expected = request.headers.get('X-Expect-Instance', '')
         if life is None or expected != life.name:
-            return Reply(421)
+            return HttpResponse(421)
         body = json.loads(request.body)
         if body['fence'] < life.fence:
             return _make_reply(life, 409, reason='fence')
@@ -161,7 +161,7 @@
         longest_ms = life.get_clock_ms() + _LEASE_MAX_S * _MS
         life.expires_ms = max(life.expires_ms, min(asked_ms, longest_ms))
 
-    def _start(self, life: Life, body: _Body) -> Reply:
+    def _start(self, life: Life, body: _Body) -> HttpResponse:
         task, run = body['task'], body['run']
         if life.running.get(task) == run:
             return _make_reply(life, 200)
@@ -185,7 +185,7 @@
         if life.running.get(task, run + 1) <= run:
             self._finish(life, task, 'stopped')
 
-    async def _hold(self, life: Life, body: _Body) -> Reply:
+    async def _hold(self, life: Life, body: _Body) -> HttpResponse:
         self._prolong(life, body)
         seen = body['last_seen']
         for position, task, _, how, *_ in life.ended:
@@ -239,6 +239,6 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _make_reply(life: Life, code: int, **fields: Any) -> Reply:
+def _make_reply(life: Life, code: int, **fields: Any) -> HttpResponse:
     body = {'wall_ms': life.get_clock_ms(), **fields}
-    return Reply(code, json.dumps(body).encode())
+    return HttpResponse(code, json.dumps(body).encode())
