--- a/src/sardinemast/control/__init__.py
+++ b/src/sardinemast/control/__init__.py
@@ -1,4 +1,4 @@
-"""Core of a control process: the log, leases, grants, jobs, the roster."""
+"""Core of a control process: log, leases, grants, jobs and roster."""
 
 from sardinemast.control._core import ControlCore, ControlSettings
 from sardinemast.control._events import (
--- a/src/sardinemast/control/_apply_queue.py
+++ b/src/sardinemast/control/_apply_queue.py
@@ -1,51 +1,54 @@
-"""Committed entries on their way into the state."""
+"""Committed log entries that wait to be applied to the state."""
 
 from collections import deque
 from collections.abc import Callable
 
 from sardinemast.consensus import LogEntry
 
-# Some 10 ms of work. A replica that starts again learns at once that its whole
-# log is committed. Applied in one go, thousands of entries took longer than
-# followers wait for a heartbeat, and each leader in turn lost its term.
-_APPLIED_A_STEP = 64
+# Keeps a step well below the election timeout. A restarted replica learns at
+# once that its whole log is committed; applying thousands of entries in one
+# step would delay heartbeats until the leader loses its term.
+_MAX_APPLIED_PER_STEP = 64
 
 
 class ApplyQueue:
-    """Apply entries in their order, so many in each step of the core."""
+    """Apply entries in log order, a bounded number in each step."""
 
     def __init__(self, apply: Callable[[LogEntry, float], None]) -> None:
         self._apply = apply
         self._entries: deque[LogEntry] = deque()
-        self._left = _APPLIED_A_STEP
-        self._is_continued = False
+        self._remaining = _MAX_APPLIED_PER_STEP
+        self._is_step_scheduled = False
 
     def begin_step(self, now_s: float) -> None:
-        """Apply what was left over from the steps before."""
-        self._left = _APPLIED_A_STEP
-        self._apply_some(now_s)
+        """Apply entries that earlier steps left in the queue."""
+        self._remaining = _MAX_APPLIED_PER_STEP
+        self._apply_pending(now_s)
 
     def put(self, entry: LogEntry, now_s: float) -> None:
-        """Take an entry that is committed."""
+        """Append a committed entry; apply it if the step allows more."""
         self._entries.append(entry)
-        self._apply_some(now_s)
+        self._apply_pending(now_s)
 
     def clear(self) -> None:
-        """Drop entries that a snapshot stands for."""
+        """Discard entries that a restored snapshot already contains."""
         self._entries.clear()
 
-    def must_continue(self) -> bool:
-        """Tell, once until it happens, whether another step is needed."""
-        if self._is_continued or not self._entries:
+    def schedule_step(self) -> bool:
+        """Return whether to schedule another step.
+
+        Return true only once until that step has begun.
+        """
+        if self._is_step_scheduled or not self._entries:
             return False
-        self._is_continued = True
+        self._is_step_scheduled = True
         return True
 
-    def note_continued(self) -> None:
-        """Note that the step that was asked for has come."""
-        self._is_continued = False
+    def clear_scheduled(self) -> None:
+        """Record that the scheduled step has begun."""
+        self._is_step_scheduled = False
 
-    def _apply_some(self, now_s: float) -> None:
-        while self._entries and self._left:
-            self._left -= 1
+    def _apply_pending(self, now_s: float) -> None:
+        while self._entries and self._remaining:
+            self._remaining -= 1
             self._apply(self._entries.popleft(), now_s)
--- a/src/sardinemast/control/_call_handler.py
+++ b/src/sardinemast/control/_call_handler.py
@@ -1,4 +1,4 @@
-"""The leader's side of calls: jobs, announcements, catalogs, waves."""
+"""Handle calls to the leader: jobs, workers, catalogs and waves."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -36,15 +36,19 @@
 _DONE = CallAnswer(CallOutcome.done)
 
 
-class Caller(NamedTuple):
-    """Name the stream and the call that wait for an answer."""
+class CallerId(NamedTuple):
+    """Identify a call and the stream that awaits its answer."""
 
     stream_id: int
     call_id: int
 
 
 class CallHandler:
-    """Answer calls, those that change something once the log has them."""
+    """Answer calls to the leader.
+
+    A call that changes the state is answered once its command is applied;
+    callers that wait for equal commands share one proposal.
+    """
 
     def __init__(
         self,
@@ -55,58 +59,59 @@
         self._context = context
         self._note_announced = record_announcement
         self._note_leaving = record_leaving
-        self._waiting: dict[Any, list[Caller]] = defaultdict(list)
-        self._sequences: dict[tuple[str, int], int] = {}
-        # Each look-up of a dispatching method makes a new function.
-        self._take_call = self._take
+        self._waiting: dict[Any, list[CallerId]] = defaultdict(list)
+        self._last_sequences: dict[tuple[str, int], int] = {}
+        # Bound once: each attribute access of a singledispatchmethod creates a
+        # new function.
+        self._handle_call = self._handle
 
     def start_term(self) -> None:
-        """Know of no announcements of a former term."""
-        self._sequences.clear()
+        """Clear the announcement sequences of an earlier term."""
+        self._last_sequences.clear()
 
     def end_term(self) -> None:
-        """Tell all that wait that the next leader may have it, or not."""
+        """Answer all waiting callers that the outcome is uncertain."""
         answer = CallAnswer(CallOutcome.uncertain)
         for key in tuple(self._waiting):
             self._answer_waiting(key, answer)
 
-    def take(
+    def handle(
         self,
-        caller: Caller,
+        caller: CallerId,
         call: Call,
         now_s: float,
         now_ms: int,
     ) -> None:
-        """Answer a call now, or once its command is applied."""
-        answer = self._take_call(call, caller, now_s, now_ms)
+        """Answer a call now, or propose its command and answer later."""
+        answer = self._handle_call(call, caller, now_s, now_ms)
         if answer is not None:
             self._answer(caller, answer)
 
-    def note_applied(self, command: Command) -> None:
-        """Answer those who waited for the command."""
-        key = _get_key(command)
+    def handle_applied(self, command: Command) -> None:
+        """Answer the callers that wait for the command."""
+        key = _get_wait_key(command)
         if key is not None:
-            self._answer_waiting(key, self._judge(command))
+            self._answer_waiting(key, self._make_result(command))
 
     @property
     def _state(self) -> JobsState:
         return self._context.state.subsystems.jobs
 
     @singledispatchmethod
-    def _take(
+    def _handle(
         self,
         call: Call,
-        caller: Caller,
+        caller: CallerId,
         now_s: float,
         now_ms: int,
     ) -> CallAnswer | None:
         raise TypeError(call)
 
-    @_take.register
-    def _take_job(
+    @_handle.register
+    def _handle_job(
         self,
         call: JobCall,
-        caller: Caller,
+        caller: CallerId,
         now_s: float,
         now_ms: int,
     ) -> CallAnswer | None:
@@ -120,14 +125,14 @@
         team_name = team.name if team else ''
         if call.action is JobAction.submit:
             return self._submit(call, queue, team_name, name, caller, now_ms)
-        return self._take_named(call.action, queue, name, caller)
+        return self._handle_named_job(call.action, queue, name, caller)
 
-    def _take_named(
+    def _handle_named_job(
         self,
         action: JobAction,
         queue: Queue,
         name: str,
-        caller: Caller,
+        caller: CallerId,
     ) -> CallAnswer | None:
         if action is JobAction.read and not name:
             waiting = count_queued_jobs(self._state, queue.name)
@@ -140,24 +145,24 @@
             return None
         return CallAnswer(CallOutcome.done, status=job.status.value)
 
-    @_take.register
-    def _take_announcement(
+    @_handle.register
+    def _handle_announcement(
         self,
         call: AnnounceWorker,
-        caller: Caller,
+        caller: CallerId,
         now_s: float,
         now_ms: int,
     ) -> CallAnswer | None:
         worker = call.worker
         boot = (worker.name, worker.boot_ms)
         known = self._state.workers.get(worker.name)
-        # A word that was held up on its way must not undo a later one.
-        if call.sequence < self._sequences.get(boot, 0):
+        # A delayed announcement must not overwrite a later one.
+        if call.sequence < self._last_sequences.get(boot, 0):
             return _DONE
         if known is not None and known.boot_ms > worker.boot_ms:
             return _DONE
-        self._sequences[boot] = call.sequence
-        if known is not None and _is_drain_undone(known, worker):
+        self._last_sequences[boot] = call.sequence
+        if known is not None and _reverts_drain(known, worker):
             worker = worker._replace(is_draining=True)
         if known == worker:
             self._note_announced(worker.name, now_s)
@@ -165,22 +170,22 @@
         self._propose(commands.RegisterWorker(worker), caller)
         return None
 
-    @_take.register
-    def _take_leaving(
+    @_handle.register
+    def _handle_departure(
         self,
         call: WorkerLeft,
-        caller: Caller,
+        caller: CallerId,
         now_s: float,
         now_ms: int,
     ) -> CallAnswer | None:
         self._note_leaving(call.worker, now_s)
         return _DONE
 
-    @_take.register
-    def _take_catalog(
+    @_handle.register
+    def _handle_replace_catalog(
         self,
         call: ReplaceCatalog,
-        caller: Caller,
+        caller: CallerId,
         now_s: float,
         now_ms: int,
     ) -> CallAnswer | None:
@@ -196,11 +201,11 @@
         )
         return None
 
-    @_take.register
-    def _take_reading(
+    @_handle.register
+    def _handle_read_catalog(
         self,
         call: ReadCatalog,
-        caller: Caller,
+        caller: CallerId,
         now_s: float,
         now_ms: int,
     ) -> CallAnswer | None:
@@ -208,11 +213,11 @@
             return CallAnswer(CallOutcome.refused)
         return CallAnswer(CallOutcome.done, source=self._state.source)
 
-    @_take.register
-    def _take_wave(
+    @_handle.register
+    def _handle_begin_wave(
         self,
         call: BeginWave,
-        caller: Caller,
+        caller: CallerId,
         now_s: float,
         now_ms: int,
     ) -> CallAnswer | None:
@@ -229,11 +234,11 @@
         self._propose(wave, caller)
         return None
 
-    @_take.register
-    def _take_wave_reading(
+    @_handle.register
+    def _handle_read_wave(
         self,
         call: ReadWave,
-        caller: Caller,
+        caller: CallerId,
         now_s: float,
         now_ms: int,
     ) -> CallAnswer | None:
@@ -254,7 +259,7 @@
         queue: Queue,
         team: str,
         name: str,
-        caller: Caller,
+        caller: CallerId,
         now_ms: int,
     ) -> CallAnswer | None:
         if call.request is None or not name:
@@ -277,17 +282,17 @@
             return None
         return job
 
-    def _judge(self, command: Command) -> CallAnswer:
-        # Between proposal and application a new catalog may have taken the
-        # queue away; then nothing was done.
+    def _make_result(self, command: Command) -> CallAnswer:
+        # A catalog applied after the proposal may have removed the queue; the
+        # job was not created then.
         is_missed = (
             isinstance(command, commands.SubmitJob)
             and command.name not in self._state.jobs
         )
         return CallAnswer(CallOutcome.unknown_queue) if is_missed else _DONE
 
-    def _propose(self, command: Command, caller: Caller) -> None:
-        key = _get_key(command)
+    def _propose(self, command: Command, caller: CallerId) -> None:
+        key = _get_wait_key(command)
         is_first = key not in self._waiting
         self._waiting[key].append(caller)
         if is_first:
@@ -297,17 +302,18 @@
         for caller in self._waiting.pop(key, ()):
             self._answer(caller, answer)
 
-    def _answer(self, caller: Caller, answer: CallAnswer) -> None:
+    def _answer(self, caller: CallerId, answer: CallAnswer) -> None:
         self._context.outputs.append(AnswerCall(*caller, answer))
 
 
-def _is_drain_undone(known: Worker, worker: Worker) -> bool:
-    # One that drains ends; a word that says otherwise was said before.
+def _reverts_drain(known: Worker, worker: Worker) -> bool:
+    # A worker does not resume after draining, so an announcement of the same
+    # boot without the flag is outdated.
     return known.boot_ms == worker.boot_ms and known.is_draining
 
 
-def _get_key(command: Command) -> Any:
-    """Give by what the callers that wait for a command know it."""
+def _get_wait_key(command: Command) -> Any:
+    """Return the key under which callers wait for a command."""
     if isinstance(command, commands.SubmitJob | commands.CancelJob):
         return (type(command), command.name)
     if isinstance(command, commands.RegisterWorker):
--- a/src/sardinemast/control/_context.py
+++ b/src/sardinemast/control/_context.py
@@ -1,4 +1,4 @@
-"""What the desks of a control process share."""
+"""State and outputs shared by the parts of the control core."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -11,10 +11,10 @@
 
 
 class ControlContext(NamedTuple):
-    """Hold the replicated state and the ways out of the core.
+    """Hold the replicated state, the outputs and how to propose commands.
 
     ``propose`` takes a command, the operator's request id or
-    ``INTERNAL_REQUEST``, and the time. ``outputs`` is carried out in order
+    ``INTERNAL_REQUEST``, and the time. ``outputs`` are executed in order
     after the step.
     """
 
@@ -24,5 +24,5 @@
     lease_s: float
 
     def send(self, stream_id: int, message: ControlMessage) -> None:
-        """Send a message on an entry's stream."""
+        """Append a message to an entry to the outputs."""
         self.outputs.append(SendToEntry(stream_id, message))
--- a/src/sardinemast/control/_core.py
+++ b/src/sardinemast/control/_core.py
@@ -1,4 +1,4 @@
-"""Decide what a control process does, without input or output."""
+"""Control process as a deterministic state machine without I/O."""
 
 from functools import singledispatchmethod
 from random import Random
@@ -52,13 +52,13 @@
     ReportUpstreams,
 )
 
-_TIME_STEP_S = 60.0
+_TIME_COMMAND_INTERVAL_S = 60.0
 
 
 class ControlSettings(NamedTuple):
-    """Name the process and its peers.
+    """Configure the replica, leases, snapshots and dispatching.
 
-    After ``snapshot_entries`` applied entries a snapshot replaces them.
+    A snapshot is taken after every ``snapshot_entries`` applied entries.
     """
 
     replica: consensus.ReplicaSettings
@@ -68,7 +68,7 @@
 
 
 class ControlCore:
-    """Replicate commands, and serve entries and operators while leading."""
+    """Replicate commands; serve entries, operators and callers as leader."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
         if snapshot is not None:
             restore_snapshot(self.state, snapshot.image)
         self._snapshot_entries = settings.snapshot_entries
-        self._collected: list[consensus.CommandProposed] | None = None
+        self._batch: list[consensus.CommandProposed] | None = None
         self._outputs: list[ControlOutput] = []
         self._context = ControlContext(
             self.state,
@@ -111,24 +111,25 @@
             ReplicaAccess(self.replica, self.is_leader, self._step_replica),
         )
         self._is_ready = False
-        self._applying = ApplyQueue(self._apply)
-        # Each look-up of a dispatching method makes a new function.
+        self._apply_queue = ApplyQueue(self._apply)
+        # Bound once: each attribute access of a singledispatchmethod creates a
+        # new function.
         self._handle_event = self._handle
 
     def is_leader(self, now_s: float) -> bool:
-        """Tell whether this process may answer for the state now."""
+        """Return whether this process leads, is up to date and has a lease."""
         return self._is_ready and self.replica.has_lease(now_s)
 
     def step(self, event: ControlEvent, now_s: float) -> list[ControlOutput]:
-        """Take an event and give the outputs, to be carried out in order."""
+        """Handle an event and return the outputs, to be executed in order."""
         self._outputs.clear()
-        self._applying.begin_step(now_s)
+        self._apply_queue.begin_step(now_s)
         self._handle_event(event, now_s)
-        self._sessions.note_log(self.state.log_index, now_s)
-        self._entry_handler.streams.send_fresh(now_s)
+        self._sessions.record_log_index(self.state.log_index, now_s)
+        self._entry_handler.streams.send_applied(now_s)
         self._answer_operators(now_s)
         self._take_snapshot(now_s)
-        if self._applying.must_continue():
+        if self._apply_queue.schedule_step():
             self._outputs.append(ScheduleApply())
         return list(self._outputs)
 
@@ -141,14 +142,14 @@
         self._step_replica(consensus.Tick(), now_s)
         self._job_controller.tick(now_s, event.wall_ms)
         if self.is_leader(now_s):
-            self._entry_handler.rosters.check(now_s)
-            self._entry_handler.retire_ended(now_s)
+            self._entry_handler.roster.check(now_s)
+            self._entry_handler.retire_expired(now_s)
             self._grant_planner.tick(now_s)
             self._slot_allocator.tick(now_s)
 
     @_handle.register
     def _handle_apply(self, event: ApplyDue, now_s: float) -> None:
-        self._applying.note_continued()
+        self._apply_queue.clear_scheduled()
 
     @_handle.register
     def _handle_job_event(self, event: JobEvent, now_s: float) -> None:
@@ -161,28 +162,28 @@
 
     @_handle.register
     def _handle_operator(self, event: CommandRequested, now_s: float) -> None:
-        if event.wall_s >= self.state.wall_s + _TIME_STEP_S:
+        if event.wall_s >= self.state.wall_s + _TIME_COMMAND_INTERVAL_S:
             self._propose(AdvanceTime(event.wall_s), INTERNAL_REQUEST, now_s)
         self._propose(event.command, event.request_id, now_s)
 
     @_handle.register
     def _handle_operators(self, event: CommandsRequested, now_s: float) -> None:
-        self._collected = []
-        for asked in event.asked:
-            self._handle_operator(asked, now_s)
-        proposals = consensus.BatchProposed(tuple(self._collected))
-        self._collected = None
+        self._batch = []
+        for request in event.requests:
+            self._handle_operator(request, now_s)
+        proposals = consensus.BatchProposed(tuple(self._batch))
+        self._batch = None
         self._step_replica(proposals, now_s)
 
     @_handle.register
     def _handle_repair(self, event: RepairRequested, now_s: float) -> None:
-        asked = consensus.RepairRequested(INTERNAL_REQUEST, event.name)
-        outputs = self.replica.step(asked, now_s)
+        request = consensus.RepairRequested(INTERNAL_REQUEST, event.name)
+        outputs = self.replica.step(request, now_s)
         is_accepted = any(
             isinstance(one, consensus.ProposalAccepted) for one in outputs
         )
         for output in outputs:
-            self._take_output(output, now_s)
+            self._handle_output(output, now_s)
         self._outputs.append(
             AnswerRepair(event.request_id, is_accepted, self.replica.leader),
         )
@@ -192,8 +193,8 @@
         if self.is_leader(now_s):
             self._entry_handler.connect(event, now_s)
         else:
-            elsewhere = NotLeader(self.replica.leader)
-            self._context.send(event.stream_id, elsewhere)
+            not_leader = NotLeader(self.replica.leader)
+            self._context.send(event.stream_id, not_leader)
 
     @_handle.register
     def _handle_disconnected(
@@ -202,38 +203,38 @@
         now_s: float,
     ) -> None:
         self._sessions.close(event.stream_id)
-        self._entry_handler.streams.forget_closed()
+        self._entry_handler.streams.discard_closed()
 
     @_handle.register
     def _handle_entry(self, event: EntryMessageReceived, now_s: float) -> None:
         session = self._sessions.sessions.get(event.stream_id)
         if session is None or not self.is_leader(now_s):
             self._sessions.close(event.stream_id)
-            elsewhere = NotLeader(self.replica.leader)
-            self._context.send(event.stream_id, elsewhere)
+            not_leader = NotLeader(self.replica.leader)
+            self._context.send(event.stream_id, not_leader)
         elif isinstance(event.message, ReportUpstreams):
-            self._entry_handler.rosters.take_report(event.message, now_s)
+            self._entry_handler.roster.handle_report(event.message, now_s)
         elif isinstance(event.message, HeardUpstreams):
-            self._entry_handler.rosters.take_digest(event.message, now_s)
+            self._entry_handler.roster.handle_digest(event.message, now_s)
         elif self._grant_planner.is_releasing(session):
             return
         elif isinstance(event.message, RenewLease):
             if self._entry_handler.renew(session, event.message, now_s):
-                self._grant_planner.take_wish(session, event.message, now_s)
+                self._grant_planner.handle_demand(session, event.message, now_s)
         elif isinstance(event.message, ReportPools):
-            self._slot_allocator.take_report(session, event.message)
+            self._slot_allocator.handle_report(session, event.message)
         elif isinstance(event.message, ReportDemand):
-            self._grant_planner.take_wish(session, event.message, now_s)
+            self._grant_planner.handle_demand(session, event.message, now_s)
 
     def _propose(self, command: Command, request_id: int, now_s: float) -> None:
         proposal = consensus.CommandProposed(
             request_id,
             COMMANDS.encode(command),
         )
-        if self._collected is None:
+        if self._batch is None:
             self._step_replica(proposal, now_s)
         else:
-            self._collected.append(proposal)
+            self._batch.append(proposal)
 
     def _take_snapshot(self, now_s: float) -> None:
         index = self.state.log_index
@@ -244,20 +245,20 @@
 
     def _step_replica(self, event: consensus.Event, now_s: float) -> None:
         for output in self.replica.step(event, now_s):
-            self._take_output(output, now_s)
+            self._handle_output(output, now_s)
 
-    def _take_output(self, output: consensus.Output, now_s: float) -> None:
+    def _handle_output(self, output: consensus.Output, now_s: float) -> None:
         if isinstance(output, consensus.ApplyEntry):
-            self._applying.put(output.entry, now_s)
+            self._apply_queue.put(output.entry, now_s)
         elif isinstance(output, consensus.RestoreSnapshot):
-            # All that was committed before stands in the snapshot.
-            self._applying.clear()
+            # The snapshot contains all entries that were still queued.
+            self._apply_queue.clear()
             restore_snapshot(self.state, output.snapshot.image)
-            self._job_controller.note_restored(now_s)
+            self._job_controller.handle_restored(now_s)
         elif isinstance(output, consensus.ProposalAccepted):
-            self._pending.note_proposal(output)
+            self._pending.record_proposal(output)
         elif isinstance(output, consensus.ProposalRejected):
-            self._answer_elsewhere(output.proposal_id)
+            self._answer_not_leader(output.proposal_id)
         else:
             if isinstance(output, consensus.RoleChanged):
                 self._change_role(output, now_s)
@@ -268,14 +269,14 @@
         if entry.payload:
             applied = self._apply_command(entry, now_s)
         self.state.log_index = entry.log_index
-        # The first entry of the own term shows that all entries of former
-        # terms are applied; before that a leader may lack acknowledged ones.
+        # Only after applying an entry of its own term does a leader know that
+        # it has applied every entry acknowledged in earlier terms.
         if entry.term == self.replica.term:
             was_ready = self._is_ready
             self._is_ready = self.replica.role is consensus.Role.leader
             if self._is_ready and not was_ready:
                 self._job_controller.start_term(now_s)
-        self._entry_handler.streams.note_applied(applied)
+        self._entry_handler.streams.handle_applied(applied)
 
     def _apply_command(
         self,
@@ -285,13 +286,13 @@
         command = COMMANDS.decode(entry.payload)
         is_known = is_known_command(self.state, command)
         outcome = apply_command(self.state, command, entry.log_index)
-        self._pending.note_applied(entry, outcome, now_s)
-        self._grant_planner.note_applied(command, self.state)
+        self._pending.handle_applied(entry, outcome, now_s)
+        self._grant_planner.handle_applied(command, self.state)
         if isinstance(command, RetireEntry):
-            self._entry_handler.note_retired(command)
-        self._job_controller.note_applied(command, now_s)
-        # A resend and a refusal change nothing. An entry does not remember
-        # commands, and would carry out the resend once more.
+            self._entry_handler.handle_retired(command)
+        self._job_controller.handle_applied(command, now_s)
+        # Entries don't deduplicate commands, so a resent command is withheld
+        # from them; a rejected one changes nothing.
         if is_known or not outcome.is_accepted:
             return EntryUpdate(entry.log_index, b'', {})
         return make_entry_update(self.state, command, entry.log_index)
@@ -309,18 +310,20 @@
             return
         self._job_controller.end_term()
         self._outputs.extend(
-            self._pending.give_up(self.state, self._sessions, now_s),
+            self._pending.answer_on_step_down(
+                self.state, self._sessions, now_s
+            ),
         )
         self._entry_handler.end_term(self.replica.leader)
 
-    def _answer_elsewhere(self, request_id: int) -> None:
+    def _answer_not_leader(self, request_id: int) -> None:
         if request_id != INTERNAL_REQUEST:
             answer = OperatorAnswer(None, 0, 0, 0, self.replica.leader)
             self._outputs.append(AnswerOperator(request_id, answer))
 
     def _answer_operators(self, now_s: float) -> None:
         if self._pending.has_applied and self.is_leader(now_s):
-            answers = self._pending.take_answers(
+            answers = self._pending.pop_answers(
                 self.state,
                 self._sessions,
                 now_s,
--- a/src/sardinemast/control/_entry_handler.py
+++ b/src/sardinemast/control/_entry_handler.py
@@ -1,4 +1,4 @@
-"""The leader's side of entries' streams: state, leases, the roster."""
+"""Handle entries' streams at the leader: state, leases and roster."""
 
 from sardinemast.control._context import INTERNAL_REQUEST, ControlContext
 from sardinemast.control._events import EntryConnected
@@ -16,32 +16,32 @@
 
 
 class EntryHandler:
-    """Serve entries while this process leads."""
+    """Register entries, renew their leases and stream state to them."""
 
     def __init__(
         self, context: ControlContext, sessions: EntrySessions
     ) -> None:
         self._context = context
         self._sessions = sessions
-        self._registering = ProposalThrottle()
-        self._retiring = ProposalThrottle()
+        self._registrations = ProposalThrottle()
+        self._retirements = ProposalThrottle()
         self.streams = StateStreams(context, sessions)
-        self.rosters = RosterPublisher(context, sessions)
+        self.roster = RosterPublisher(context, sessions)
 
     def start_term(self, term: int, now_s: float) -> None:
-        """Forget what was known and under way in a former term."""
+        """Clear leases, the roster and proposals of an earlier term."""
         self._sessions.start_term(now_s)
-        self.rosters.start_term(term, now_s)
-        self._registering.clear()
-        self._retiring.clear()
+        self.roster.start_term(term, now_s)
+        self._registrations.clear()
+        self._retirements.clear()
 
     def end_term(self, leader: str) -> None:
-        """Send all entries to the next leader."""
+        """Close all streams and redirect the entries to the next leader."""
         for stream_id in self._sessions.close_all():
             self._context.send(stream_id, NotLeader(leader))
 
     def connect(self, event: EntryConnected, now_s: float) -> None:
-        """Open a stream: register the entry, send state and roster."""
+        """Open a session: register the entry, send state and roster."""
         session = Session(
             event.stream_id,
             event.entry,
@@ -51,8 +51,8 @@
         )
         self._sessions.open(session)
         self._register(session, now_s)
-        self.streams.send_whole(session, now_s)
-        self.rosters.send_whole(session.stream_id, now_s)
+        self.streams.send_snapshot(session, now_s)
+        self.roster.send_snapshot(session.stream_id, now_s)
 
     def renew(
         self,
@@ -60,20 +60,21 @@
         renewal: RenewLease,
         now_s: float,
     ) -> bool:
-        """Renew the lease of the incarnation that the log knows.
+        """Renew the lease and return whether it was granted.
 
-        Any other gets none, so that the count of entries in force misses
-        nobody who serves. Neither does one that lags.
+        Only the registered incarnation gets a lease, so that every serving
+        entry is counted when an operator asks whether a change is in force.
+        An entry that lags behind the log gets none either.
         """
         if renewal.applied_index == NEEDS_STATE:
-            self.streams.send_whole(session, now_s)
+            self.streams.send_snapshot(session, now_s)
             return False
-        self._sessions.note_renewal(session.holder, renewal.applied_index)
+        self._sessions.record_renewal(session.holder, renewal.applied_index)
         if not self._is_registered(session):
             self._register(session, now_s)
             return False
         if self._sessions.is_lagging(renewal.applied_index, now_s):
-            self.streams.send_whole_again(session, now_s)
+            self.streams.resend_snapshot(session, now_s)
             return False
         self._sessions.grant_lease(session.holder, now_s)
         self._context.send(
@@ -86,25 +87,25 @@
         )
         return True
 
-    def retire_ended(self, now_s: float) -> None:
-        """Forget incarnations that surely have no lease."""
-        ended = list(self._sessions.get_ended(self._context.state, now_s))
+    def retire_expired(self, now_s: float) -> None:
+        """Propose to retire former incarnations whose leases have expired."""
+        ended = list(self._sessions.get_expired(self._context.state, now_s))
         for holder in ended:
-            if self._retiring.take_turn(holder, now_s):
+            if self._retirements.try_start(holder, now_s):
                 self._propose(RetireEntry(*holder), now_s)
 
-    def note_retired(self, command: RetireEntry) -> None:
-        """Let the incarnation be registered anew."""
-        self._retiring.forget((command.name, command.incarnation))
+    def handle_retired(self, command: RetireEntry) -> None:
+        """Allow the incarnation to register again."""
+        self._retirements.discard((command.name, command.incarnation))
 
     def _is_registered(self, session: Session) -> bool:
-        # Once a retirement is on its way, the incarnation gets no lease: it
-        # would have one when the command takes it out of the count.
+        # An incarnation with a pending retirement gets no lease: it would
+        # still serve when the command removes it from the count.
         known = self._context.state.entries.get(session.entry)
         return (
             known is not None
             and known.incarnation == session.incarnation
-            and not self._retiring.has_proposed(session.holder)
+            and not self._retirements.is_pending(session.holder)
         )
 
     def _register(self, session: Session, now_s: float) -> None:
@@ -114,7 +115,7 @@
             known.incarnation,
             now_s,
         )
-        if is_next and self._registering.take_turn(session.holder, now_s):
+        if is_next and self._registrations.try_start(session.holder, now_s):
             registration = RegisterEntry(
                 *session.holder,
                 session.host,
@@ -123,9 +124,9 @@
             self._propose(registration, now_s)
 
     def _is_next(self, session: Session, known: int, now_s: float) -> bool:
-        # Two processes under one name must not take the lease from each
-        # other in turn. The later start wins; an earlier one (its clock may
-        # have been set back) waits until the other is surely gone.
+        # Two processes with one name must not replace each other in turn. The
+        # later incarnation wins; an earlier one, which a clock set back may
+        # cause, waits until the other is disconnected and its lease expired.
         if session.incarnation >= known:
             return session.incarnation > known
         return not self._sessions.is_connected(session.entry, known) and (
--- a/src/sardinemast/control/_events.py
+++ b/src/sardinemast/control/_events.py
@@ -1,4 +1,4 @@
-"""What goes into a control process's core and what comes out of it."""
+"""Events and outputs of the core of a control process."""
 
 from typing import NamedTuple
 
@@ -15,13 +15,13 @@
 
 
 class Tick(NamedTuple):
-    """Tell the core that time has passed, and the time of day."""
+    """Let time-driven work run; ``wall_ms`` is Unix time, 0 if not read."""
 
     wall_ms: int = 0
 
 
 class PeerMessageReceived(NamedTuple):
-    """Hand over a message of another control process."""
+    """Deliver a message from another control process."""
 
     sender: str
     message: consensus.Message
@@ -29,7 +29,7 @@
 
 
 class EntryConnected(NamedTuple):
-    """Tell that an entry opened a stream, and where others reach it."""
+    """Report a new stream of an entry and the entry's peer address."""
 
     stream_id: int
     entry: str
@@ -39,20 +39,20 @@
 
 
 class EntryMessageReceived(NamedTuple):
-    """Hand over a message of an entry."""
+    """Deliver a message from an entry."""
 
     stream_id: int
     message: EntryMessage
 
 
 class EntryDisconnected(NamedTuple):
-    """Tell that a stream has ended."""
+    """Report that an entry's stream has ended."""
 
     stream_id: int
 
 
 class CommandRequested(NamedTuple):
-    """Hand over an operator's command, and the wall time for the log."""
+    """Request an operator's command; ``wall_s`` is the Unix time to log."""
 
     request_id: int
     command: Command
@@ -60,26 +60,26 @@
 
 
 class CommandsRequested(NamedTuple):
-    """Hand over commands to be written and synced together."""
+    """Request several commands, written and synced as one batch."""
 
-    asked: tuple[CommandRequested, ...]
+    requests: tuple[CommandRequested, ...]
 
 
 class RepairRequested(NamedTuple):
-    """Hand over an operator's wish to replace a replica's folder."""
+    """Request that a replica replace its data folder and rejoin."""
 
     request_id: int
     name: str
 
 
 class CallerConnected(NamedTuple):
-    """Tell that a process opened a stream for calls."""
+    """Report a new stream of a process that sends calls."""
 
     stream_id: int
 
 
 class CallReceived(NamedTuple):
-    """Hand over a call that a process passes on."""
+    """Deliver a call from a process."""
 
     stream_id: int
     call_id: int
@@ -87,25 +87,26 @@
 
 
 class CallerDisconnected(NamedTuple):
-    """Tell that a stream for calls has ended."""
+    """Report that a stream for calls has ended."""
 
     stream_id: int
 
 
 class ProposalsDue(NamedTuple):
-    """Have what was gathered written and synced together."""
+    """Request that the batched proposals be written and synced."""
 
 
 class ApplyDue(NamedTuple):
-    """Have more of the committed entries applied."""
+    """Request that more committed entries be applied."""
 
 
 class OperatorAnswer(NamedTuple):
-    """Answer an operator truthfully.
+    """Hold the outcome of an operator's command.
 
-    ``entries_in_force`` of ``entries_total`` have the change in force or no
-    lease to serve without it. Without an outcome nothing was written and
-    ``leader`` must be asked, or with ``is_unknown`` it may still be accepted.
+    ``entries_in_force`` counts the entries of ``entries_total`` that have
+    applied the change or have no lease. Without an outcome, nothing was
+    written and the operator must ask ``leader``; if ``is_unknown`` is set, the
+    command may still be accepted.
     """
 
     outcome: Outcome | None
@@ -117,14 +118,14 @@
 
 
 class AnswerOperator(NamedTuple):
-    """Send the answer to an operator."""
+    """Answer an operator's command."""
 
     request_id: int
     answer: OperatorAnswer
 
 
 class AnswerRepair(NamedTuple):
-    """Tell an operator whether the replica was told to join anew."""
+    """Answer whether the replica was ordered to rejoin."""
 
     request_id: int
     is_accepted: bool
@@ -139,15 +140,15 @@
 
 
 class ScheduleProposals(NamedTuple):
-    """Hand over ``ProposalsDue`` a moment later."""
+    """Schedule ``ProposalsDue`` after a short batching delay."""
 
 
 class ScheduleApply(NamedTuple):
-    """Hand over ``ApplyDue`` once sockets had their turn."""
+    """Schedule ``ApplyDue`` after pending socket events."""
 
 
 class AnswerCall(NamedTuple):
-    """Send the answer to a call."""
+    """Answer a call."""
 
     stream_id: int
     call_id: int
@@ -162,7 +163,7 @@
 
 
 class SendOrder(NamedTuple):
-    """Send an order to a worker, unless the lease has ended before."""
+    """Send a dispatch order, unless the leader's lease has expired."""
 
     order: dispatch.DispatchOutput
     valid_until_s: float
--- a/src/sardinemast/control/_gauges.py
+++ b/src/sardinemast/control/_gauges.py
@@ -1,4 +1,4 @@
-"""Current figures of a control process, for its metrics."""
+"""Gauges of a control process for its metrics."""
 
 from collections import Counter
 
@@ -10,9 +10,9 @@
 
 
 def list_gauges(replica: Replica, fleet: FleetState) -> dict[str, _Figures]:
-    """Give leadership, versions, and by pool workers, runs and queues.
+    """Return each gauge's values by label; unlabelled gauges use ``''``.
 
-    A follower's figures lag behind the leader's by a heartbeat or so.
+    A follower's values lag behind the leader's by about a heartbeat.
     """
     state = fleet.subsystems.jobs
     return {
--- a/src/sardinemast/control/_grant_planner.py
+++ b/src/sardinemast/control/_grant_planner.py
@@ -1,4 +1,4 @@
-"""The leader's side of grants: raises, returns, recalls and releases."""
+"""Plan changes of grants at the leader."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -24,90 +24,97 @@
 
 Holder = tuple[str, int]
 
-# A team that waits is planned for at once; one that goes on waiting is looked
-# at again this often, so that contended teams don't load the leader.
+# A new demand is planned for at once; unmet demand is planned for again at
+# this interval, which limits the load of contended teams on the leader.
 _PLAN_INTERVAL_S = 0.05
 _RELEASE_INTERVAL_S = 0.25
 
 
 class GrantPlanner:
-    """Plan changes of grants, each holder's at most one at a time."""
+    """Raise, return, recall and release grants.
+
+    At most one change of a grant is pending at a time.
+    """
 
     def __init__(
         self, context: ControlContext, sessions: EntrySessions
     ) -> None:
         self._context = context
         self._sessions = sessions
-        self._book = DemandTracker(context.state)
-        self._bounds = RunBoundTracker(context.lease_s)
+        self._demand_tracker = DemandTracker(context.state)
+        self._run_bounds = RunBoundTracker(context.lease_s)
         self._releasing: set[Holder] = set()
         self._now_s: float = 0
         self._planned_s: float = 0
         self._released_s: float = 0
 
     def start_term(self, now_s: float) -> None:
-        """Forget what was planned in a former term."""
+        """Clear plans of an earlier term."""
         self._now_s = now_s
-        self._book.start_term(now_s)
+        self._demand_tracker.start_term(now_s)
         self._releasing.clear()
 
     def is_releasing(self, session: Session) -> bool:
-        """Tell whether the grants of a session's holder are being released.
+        """Return whether grants of the session's holder are being released.
 
-        A frozen entry that wakes up just then would renew its lease and
-        start work on a grant that another entry gets a moment later.
+        Such a holder must not renew its lease: it would start work on a grant
+        that is about to go to another entry.
         """
         return (session.entry, session.incarnation) in self._releasing
 
-    def take_wish(
+    def handle_demand(
         self,
         session: Session,
-        wish: RenewLease | ReportDemand,
+        report: RenewLease | ReportDemand,
         now_s: float,
     ) -> None:
-        """Answer what an entry wants and gives back."""
+        """Plan for the demands and returns that an entry reports."""
         self._now_s = now_s
         holder = (session.entry, session.incarnation)
-        touched = self._book.record_demands(holder, wish.demands, now_s)
-        returns = self._book.accept_returns(holder, wish.returns)
+        touched = self._demand_tracker.record_demands(
+            holder, report.demands, now_s
+        )
+        returns = self._demand_tracker.accept_returns(holder, report.returns)
         freed: Counter[str] = Counter()
         for change in returns:
             freed[change.team] += self._get_amount(change) - change.amount
         touched.update(freed)
         self._plan(touched, freed, returns)
-        if isinstance(wish, RenewLease):
-            self._send_recalls(holder, self._book.get_recalls(holder))
+        if isinstance(report, RenewLease):
+            self._send_recalls(holder, self._demand_tracker.get_recalls(holder))
 
     def tick(self, now_s: float) -> None:
-        """Release what dead entries hold, and go on for who still waits."""
+        """Release grants of dead entries and plan for unmet demand."""
         self._now_s = now_s
         if now_s >= self._released_s + _RELEASE_INTERVAL_S:
             self._released_s = now_s
-            self._release_dead(now_s)
+            self._release_expired(now_s)
         if now_s >= self._planned_s + _PLAN_INTERVAL_S:
             self._planned_s = now_s
-            self._plan(self._book.get_waiting_teams(), Counter(), [])
+            self._plan(self._demand_tracker.get_waiting_teams(), Counter(), [])
 
-    def note_applied(self, command: Command, state: FleetState) -> None:
-        """Note what the log says about grants and longest runs."""
+    def handle_applied(self, command: Command, state: FleetState) -> None:
+        """Record changes of grants and of the longest permitted run."""
         if not isinstance(command, ChangeGrants):
-            self._bounds.record_document(state.document)
+            self._run_bounds.record_document(state.document)
             return
-        self._book.record_applied(command.changes, self._now_s)
+        self._demand_tracker.record_applied(command.changes, self._now_s)
         held = {(one.entry, one.incarnation) for one in state.grants.values()}
         self._releasing.intersection_update(held)
 
-    def _release_dead(self, now_s: float) -> None:
-        self._book.discard_expired(self._is_alive)
+    def _release_expired(self, now_s: float) -> None:
+        self._demand_tracker.discard_expired(self._is_alive)
         releases = plan_releases(
             self._context.state,
-            self._get_dead_until_s,
+            self._get_release_time_s,
             now_s,
         )
         releases = [
             change
             for change in releases
-            if not self._book.has_pending_change(_get_key(change))
+            if not self._demand_tracker.has_pending_change(
+                _get_grant_key(change)
+            )
         ]
         self._releasing.update(
             (change.entry, change.incarnation) for change in releases
@@ -121,33 +128,37 @@
         changes: list[GrantChange],
     ) -> None:
         recalled: set[Holder] = set()
-        returned = {_get_key(change) for change in changes}
+        returned = {_get_grant_key(change) for change in changes}
         for team in sorted(teams):
-            split = self._split(team, freed[team], returned)
+            split = self._plan_team(team, freed[team], returned)
             changes.extend(
-                GrantChange(*_name_grant(need, team), amount)
-                for need, amount in split.raises
+                GrantChange(*_make_grant_key(demand, team), amount)
+                for demand, amount in split.raises
             )
-            for need, amount in split.recalls:
-                recalled.add((need.entry, need.incarnation))
-                self._book.add_recall(_name_grant(need, team), amount)
+            for demand, amount in split.recalls:
+                recalled.add((demand.entry, demand.incarnation))
+                self._demand_tracker.add_recall(
+                    _make_grant_key(demand, team), amount
+                )
         self._propose(changes)
         for holder in sorted(recalled):
-            self._send_recalls(holder, self._book.get_recalls(holder))
+            self._send_recalls(holder, self._demand_tracker.get_recalls(holder))
 
-    def _split(
+    def _plan_team(
         self, team: str, freed: int, returned: set[GrantKey]
     ) -> GrantPlan:
-        needs = self._book.get_demands(team, self._is_alive)
+        demands = self._demand_tracker.get_demands(team, self._is_alive)
         return plan_grants(
-            tuple(_settle(need, team, returned) for need in needs),
-            self._book.get_unallocated(team) + freed,
+            tuple(
+                _exclude_returned(demand, team, returned) for demand in demands
+            ),
+            self._demand_tracker.get_unallocated(team) + freed,
             self._now_s,
         )
 
     def _propose(self, changes: list[GrantChange]) -> None:
         if changes:
-            self._book.record_pending(changes)
+            self._demand_tracker.record_pending(changes)
             self._context.propose(
                 ChangeGrants(tuple(changes)),
                 INTERNAL_REQUEST,
@@ -166,30 +177,30 @@
                 self._context.send(session.stream_id, RecallGrants(recalls))
 
     def _get_amount(self, change: GrantChange) -> int:
-        return self._context.state.grants[_get_key(change)].amount
+        return self._context.state.grants[_get_grant_key(change)].amount
 
     def _is_alive(self, holder: Holder) -> bool:
         return self._sessions.get_lease_until_s(holder) > self._now_s
 
-    def _get_dead_until_s(self, entry: str, incarnation: int) -> float:
+    def _get_release_time_s(self, entry: str, incarnation: int) -> float:
         lease_until_s = self._sessions.get_lease_until_s((entry, incarnation))
-        return lease_until_s + self._bounds.get_longest_run_s(self._now_s)
+        return lease_until_s + self._run_bounds.get_longest_run_s(self._now_s)
 
 
-def _settle(
-    need: EntryDemand,
+def _exclude_returned(
+    demand: EntryDemand,
     team: str,
     returned: set[GrantKey],
 ) -> EntryDemand:
-    """Leave out the holder whose return goes into the same command."""
-    if _name_grant(need, team) in returned:
-        return need._replace(is_settled=False)
-    return need
+    """Mark the holder unsettled if its return is in the same command."""
+    if _make_grant_key(demand, team) in returned:
+        return demand._replace(is_settled=False)
+    return demand
 
 
-def _name_grant(need: EntryDemand, team: str) -> GrantKey:
-    return GrantKey(need.entry, need.incarnation, team)
+def _make_grant_key(demand: EntryDemand, team: str) -> GrantKey:
+    return GrantKey(demand.entry, demand.incarnation, team)
 
 
-def _get_key(change: GrantChange) -> GrantKey:
+def _get_grant_key(change: GrantChange) -> GrantKey:
     return GrantKey(change.entry, change.incarnation, change.team)
--- a/src/sardinemast/control/_job_controller.py
+++ b/src/sardinemast/control/_job_controller.py
@@ -1,4 +1,4 @@
-"""The leader's work with jobs: calls on one side, workers on the other."""
+"""Connect callers' streams and the dispatcher at the leader."""
 
 from collections.abc import Callable
 from functools import singledispatchmethod
@@ -10,7 +10,7 @@
     Event,
     Replica,
 )
-from sardinemast.control._call_handler import Caller, CallHandler
+from sardinemast.control._call_handler import CallerId, CallHandler
 from sardinemast.control._context import INTERNAL_REQUEST, ControlContext
 from sardinemast.control._events import (
     CallerConnected,
@@ -46,12 +46,12 @@
 from sardinemast.jobs import Command as JobCommand
 from sardinemast.protocol import LeaderBeat, NotLeader
 
-# Streams take a leader that misses three beats for lost.
-_BEAT_S = 0.2
+# Callers take a leader for lost after three missed heartbeats.
+_HEARTBEAT_INTERVAL_S = 0.2
 
 
 class ReplicaAccess(NamedTuple):
-    """Reach the replica of this process, and whether it may act."""
+    """Hold the replica, its step function and the leadership check."""
 
     replica: Replica
     is_leader: Callable[[float], bool]
@@ -59,16 +59,16 @@
 
 
 class JobController:
-    """Serve callers' streams, and carry out what the dispatcher decides."""
+    """Serve callers' streams and execute the dispatcher's decisions."""
 
     def __init__(
         self,
         context: ControlContext,
         settings: DispatchSettings,
-        leading: ReplicaAccess,
+        replica_access: ReplicaAccess,
     ) -> None:
-        self._context = context._replace(propose=self._gather)
-        self._leading = leading
+        self._context = context._replace(propose=self._add_to_batch)
+        self._replica_access = replica_access
         self._clock = WallClock()
         self._dispatcher = Dispatcher(settings)
         self._calls = CallHandler(
@@ -77,61 +77,62 @@
             self._dispatcher.record_leaving,
         )
         self._streams: dict[int, None] = {}
-        self._gathered: list[CommandProposed] = []
-        self._beat_due_s: float = 0
+        self._batch: list[CommandProposed] = []
+        self._heartbeat_due_s: float = 0
         self._has_ticked = False
         self._is_leading = False
-        # Each look-up of a dispatching method makes a new function.
+        # Bound once: each attribute access of a singledispatchmethod creates a
+        # new function.
         self._handle_event = self._handle
 
     def start_term(self, now_s: float) -> None:
-        """Lead from now on; all entries of former terms are applied."""
+        """Start to lead, once all entries of earlier terms are applied."""
         self._is_leading = True
         state = self._context.state.subsystems.jobs
-        term = self._leading.replica.term
+        term = self._replica_access.replica.term
         self._dispatcher.start_term(state, term, now_s)
         self._calls.start_term()
 
     def end_term(self) -> None:
-        """Send all callers to the next leader."""
+        """Stop leading and redirect all callers to the next leader."""
         self._is_leading = False
-        self._gathered.clear()
+        self._batch.clear()
         self._calls.end_term()
         for stream_id in self._streams:
-            self._send_elsewhere(stream_id)
+            self._send_not_leader(stream_id)
 
     def tick(self, now_s: float, wall_ms: int) -> None:
-        """Follow the clocks, and do what is due while leading."""
+        """Record the time of day; as leader, send heartbeats and dispatch."""
         if wall_ms:
-            self._clock.note(now_s, wall_ms)
+            self._clock.record(now_s, wall_ms)
         if not self._has_ticked:
             self._has_ticked = True
-            self.note_restored(now_s)
-        if not self._leading.is_leader(now_s):
+            self.handle_restored(now_s)
+        if not self._replica_access.is_leader(now_s):
             return
-        if now_s >= self._beat_due_s:
-            self._beat_due_s = now_s + _BEAT_S
+        if now_s >= self._heartbeat_due_s:
+            self._heartbeat_due_s = now_s + _HEARTBEAT_INTERVAL_S
             for stream_id in self._streams:
-                self._beat(stream_id)
+                self._send_heartbeat(stream_id)
         outputs = self._dispatcher.tick(now_s, self._clock.get_ms(now_s))
         self._emit(outputs, now_s)
 
     def handle(self, event: JobEvent, now_s: float) -> None:
-        """Take what comes of callers and workers."""
+        """Handle an event of callers' streams or the answer to an order."""
         self._handle_event(event, now_s)
 
-    def note_restored(self, now_s: float) -> None:
-        """Note that the state came as a whole, from a snapshot."""
+    def handle_restored(self, now_s: float) -> None:
+        """Reset order times after the state was restored from a snapshot."""
         self._dispatcher.reset_order_times(now_s)
 
-    def note_applied(self, command: Command, now_s: float) -> None:
-        """Go on after a command was applied, where this process leads."""
+    def handle_applied(self, command: Command, now_s: float) -> None:
+        """Record a command; as leader, answer callers and dispatch."""
         if not isinstance(command, JobCommand):
             return
         self._dispatcher.record_order_time(command, now_s)
         if not self._is_leading:
             return
-        self._calls.note_applied(command)
+        self._calls.handle_applied(command)
         now_ms = self._clock.get_ms(now_s)
         outputs = self._dispatcher.handle_applied(command, now_s, now_ms)
         self._emit(outputs, now_s)
@@ -142,18 +143,18 @@
 
     @_handle.register
     def _handle_due(self, event: ProposalsDue, now_s: float) -> None:
-        proposals = BatchProposed(tuple(self._gathered))
-        self._gathered.clear()
+        proposals = BatchProposed(tuple(self._batch))
+        self._batch.clear()
         if proposals.proposals:
-            self._leading.step_replica(proposals, now_s)
+            self._replica_access.step_replica(proposals, now_s)
 
     @_handle.register
     def _handle_connected(self, event: CallerConnected, now_s: float) -> None:
         self._streams[event.stream_id] = None
-        if self._leading.is_leader(now_s):
-            self._beat(event.stream_id)
+        if self._replica_access.is_leader(now_s):
+            self._send_heartbeat(event.stream_id)
         else:
-            self._send_elsewhere(event.stream_id)
+            self._send_not_leader(event.stream_id)
 
     @_handle.register
     def _handle_disconnected(
@@ -165,12 +166,12 @@
 
     @_handle.register
     def _handle_call(self, event: CallReceived, now_s: float) -> None:
-        if not self._leading.is_leader(now_s):
-            self._send_elsewhere(event.stream_id)
+        if not self._replica_access.is_leader(now_s):
+            self._send_not_leader(event.stream_id)
             return
-        caller = Caller(event.stream_id, event.call_id)
+        caller = CallerId(event.stream_id, event.call_id)
         now_ms = self._clock.get_ms(now_s)
-        self._calls.take(caller, event.call, now_s, now_ms)
+        self._calls.handle(caller, event.call, now_s, now_ms)
 
     @_handle.register
     def _handle_answer(
@@ -186,46 +187,48 @@
     def _emit(self, outputs: list[DispatchOutput], now_s: float) -> None:
         if not outputs:
             return
-        until_s = self._leading.replica.get_lease_until_s(now_s)
-        may_order = self._leading.is_leader(now_s)
+        until_s = self._replica_access.replica.get_lease_until_s(now_s)
+        may_order = self._replica_access.is_leader(now_s)
         for output in outputs:
             if isinstance(output, Propose):
-                self._gather(output.command, INTERNAL_REQUEST, now_s)
+                self._add_to_batch(output.command, INTERNAL_REQUEST, now_s)
             elif isinstance(output, LogDecision):
                 self._context.outputs.append(output)
             elif may_order:
                 self._context.outputs.append(SendOrder(output, until_s))
             else:
-                self._note_unsent(output, now_s)
+                self._report_not_sent(output, now_s)
 
-    def _note_unsent(self, order: DispatchOutput, now_s: float) -> None:
-        # Without a lease another process may lead already. What it decided
-        # must not be crossed by an order that was due here before.
-        unsent = make_not_sent_event(order)
-        if unsent is not None:
-            self._handle(unsent, now_s)
+    def _report_not_sent(self, order: DispatchOutput, now_s: float) -> None:
+        # Without a lease, another process may already lead, and an order from
+        # here could contradict its decisions.
+        not_sent = make_not_sent_event(order)
+        if not_sent is not None:
+            self._handle(not_sent, now_s)
 
-    def _gather(self, command: Command, request_id: int, now_s: float) -> None:
-        # Calls and ends of runs come one by one, each in an event of its own.
-        # What comes within a moment is written and synced together.
-        if not self._gathered:
+    def _add_to_batch(
+        self, command: Command, request_id: int, now_s: float
+    ) -> None:
+        # Calls and ends of runs arrive in separate events; those that arrive
+        # within a short time share one write and sync.
+        if not self._batch:
             self._context.outputs.append(ScheduleProposals())
         payload = COMMANDS.encode(command)
-        self._gathered.append(CommandProposed(request_id, payload))
+        self._batch.append(CommandProposed(request_id, payload))
 
-    def _beat(self, stream_id: int) -> None:
-        replica = self._leading.replica
+    def _send_heartbeat(self, stream_id: int) -> None:
+        replica = self._replica_access.replica
         names = {one.name for one in replica.log.configuration.members}
-        beat = LeaderBeat(replica.leader, tuple(sorted(names)))
-        self._context.outputs.append(SendToCaller(stream_id, beat))
+        heartbeat = LeaderBeat(replica.leader, tuple(sorted(names)))
+        self._context.outputs.append(SendToCaller(stream_id, heartbeat))
 
-    def _send_elsewhere(self, stream_id: int) -> None:
-        elsewhere = NotLeader(self._leading.replica.leader)
-        self._context.outputs.append(SendToCaller(stream_id, elsewhere))
+    def _send_not_leader(self, stream_id: int) -> None:
+        not_leader = NotLeader(self._replica_access.replica.leader)
+        self._context.outputs.append(SendToCaller(stream_id, not_leader))
 
 
 def make_not_sent_event(order: DispatchOutput) -> DispatchEvent | None:
-    """Give the event that an order was not sent, where one is awaited."""
+    """Return the event for an order not sent, or None if none is awaited."""
     if isinstance(order, PollWorker):
         return WorkerPolled(
             order.worker.name,
--- a/src/sardinemast/control/_pending_commands.py
+++ b/src/sardinemast/control/_pending_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands on their way from proposal to being in force."""
+"""Operators' commands from proposal until they are in force."""
 
 from typing import NamedTuple
 
@@ -8,12 +8,12 @@
 from sardinemast.control._sessions import EntrySessions
 from sardinemast.fleet import FleetState, Outcome
 
-# A lagging entry gets no lease after LAG_LIMIT_S and its last one ends after
-# LEASE_S, so that by now all is in force, or this process has lost its term.
-ANSWER_WITHIN_S = 5.0
+# An entry that lags gets no lease after LAG_LIMIT_S, and its last lease expires
+# after LEASE_S. By then a change is in force, or this process no longer leads.
+MAX_ANSWER_DELAY_S = 5.0
 
 
-class _Applied(NamedTuple):
+class _AppliedCommand(NamedTuple):
     request_id: int
     log_index: int
     outcome: Outcome
@@ -21,35 +21,35 @@
 
 
 class PendingCommands:
-    """Hold what operators wait for."""
+    """Track operators' commands that are not yet answered."""
 
     def __init__(self) -> None:
         self._proposed: dict[int, ProposalAccepted] = {}
-        self._applied: list[_Applied] = []
+        self._applied: list[_AppliedCommand] = []
 
-    def note_proposal(self, accepted: ProposalAccepted) -> None:
-        """Note at which place of the log an operator's command stands."""
+    def record_proposal(self, accepted: ProposalAccepted) -> None:
+        """Record the log index of an operator's command."""
         if accepted.proposal_id != INTERNAL_REQUEST:
             self._proposed[accepted.log_index] = accepted
 
     @property
     def has_applied(self) -> bool:
-        """Tell whether applied commands wait for their answers."""
+        """Return whether applied commands wait for their answers."""
         return bool(self._applied)
 
-    def note_applied(
+    def handle_applied(
         self,
         entry: LogEntry,
         outcome: Outcome,
         now_s: float,
     ) -> None:
-        """Note the outcome of the command at the place, where it is ours."""
+        """Record the outcome if this process proposed the entry."""
         proposed = self._proposed.pop(entry.log_index, None)
-        # Another leader's entry may stand at the index now; then what
-        # became of the command is told by the resend, not guessed here.
+        # Another leader may have written a different entry at this index; the
+        # operator then learns the outcome by sending the command again.
         if proposed is not None and proposed.term == entry.term:
             self._applied.append(
-                _Applied(
+                _AppliedCommand(
                     proposed.proposal_id,
                     entry.log_index,
                     outcome,
@@ -57,41 +57,45 @@
                 ),
             )
 
-    def take_answers(
+    def pop_answers(
         self,
         state: FleetState,
         sessions: EntrySessions,
         now_s: float,
     ) -> list[AnswerOperator]:
-        """Give the answers of all commands that need no more waiting."""
+        """Return answers of commands in force, rejected or timed out."""
         answers: list[AnswerOperator] = []
-        waiting: list[_Applied] = []
+        waiting: list[_AppliedCommand] = []
         for one in self._applied:
-            answer = _count(one, state, sessions, now_s)
-            is_over = now_s >= one.applied_s + ANSWER_WITHIN_S
-            if _is_in_force(answer) or is_over or not one.outcome.is_accepted:
+            answer = _make_answer(one, state, sessions, now_s)
+            is_timed_out = now_s >= one.applied_s + MAX_ANSWER_DELAY_S
+            if (
+                _is_in_force(answer)
+                or is_timed_out
+                or not one.outcome.is_accepted
+            ):
                 answers.append(AnswerOperator(one.request_id, answer))
             else:
                 waiting.append(one)
         self._applied = waiting
         return answers
 
-    def give_up(
+    def answer_on_step_down(
         self,
         state: FleetState,
         sessions: EntrySessions,
         now_s: float,
     ) -> list[AnswerOperator]:
-        """Answer all that wait when this process leads no more.
+        """Return answers to all waiting commands when leadership is lost.
 
-        What is applied is accepted for good, and an entry that has it keeps
-        it; so the count is true, if maybe too low. What is only proposed may
-        still be accepted by the next leader, and nothing else may be said.
+        Applied commands are final, and their count of entries in force is a
+        lower bound. The outcome of proposed commands is unknown, since the
+        next leader may still commit them.
         """
         answers = [
             AnswerOperator(
                 one.request_id,
-                _count(one, state, sessions, now_s),
+                _make_answer(one, state, sessions, now_s),
             )
             for one in self._applied
         ]
@@ -105,8 +109,8 @@
         return answers
 
 
-def _count(
-    one: _Applied,
+def _make_answer(
+    one: _AppliedCommand,
     state: FleetState,
     sessions: EntrySessions,
     now_s: float,
--- a/src/sardinemast/control/_roster_publisher.py
+++ b/src/sardinemast/control/_roster_publisher.py
@@ -1,4 +1,4 @@
-"""The leader's side of upstreams: announcements in, roster out."""
+"""Maintain the roster of upstreams at the leader."""
 
 from sardinemast.control._context import INTERNAL_REQUEST, ControlContext
 from sardinemast.control._sessions import EntrySessions
@@ -16,12 +16,12 @@
 )
 
 _CHECK_INTERVAL_S = 0.4
-_PLACE_INTERVAL_S = 0.5
-_PLACED_AT_ONCE = 500
+_REGISTER_INTERVAL_S = 0.5
+_MAX_REGISTERED_AT_ONCE = 500
 
 
 class RosterPublisher:
-    """Keep the roster while this process leads, and tell entries of it."""
+    """Collect announcements of upstreams and publish the roster."""
 
     def __init__(
         self,
@@ -35,16 +35,16 @@
         self._is_complete = False
         self._is_changed = False
         self._checked_s = float('-inf')
-        self._placed_s = float('-inf')
+        self._registered_s = float('-inf')
 
     def start_term(self, term: int, now_s: float) -> None:
-        """Begin a roster that entries fill by what they heard."""
+        """Start an empty roster, to be filled from entries' reports."""
         self._roster.start_term(now_s)
         self._epoch = term
         self._is_complete = False
 
-    def take_report(self, report: ReportUpstreams, now_s: float) -> None:
-        """Take what upstreams announced to an entry."""
+    def handle_report(self, report: ReportUpstreams, now_s: float) -> None:
+        """Record what upstreams announced to an entry."""
         ages_s = report.ages_s or (0,) * len(report.announcements)
         for announcement, age_s in zip(
             report.announcements,
@@ -54,23 +54,23 @@
             self._roster.accept_announcement(announcement, now_s, age_s)
         self._is_changed = True
 
-    def take_digest(self, digest: HeardUpstreams, now_s: float) -> None:
-        """Renew the leases of upstreams that an entry heard again."""
+    def handle_digest(self, digest: HeardUpstreams, now_s: float) -> None:
+        """Renew the leases of unchanged upstreams that an entry heard."""
         if digest.epoch == self._epoch:
             for handle in decode_handles(digest.handles):
                 self._roster.renew(handle, now_s)
 
-    def send_whole(self, stream_id: int, now_s: float) -> None:
-        """Send all that entries have been told."""
-        whole = RosterChanged(
+    def send_snapshot(self, stream_id: int, now_s: float) -> None:
+        """Send the published roster on a new or reset stream."""
+        snapshot = RosterChanged(
             *_split(self._roster.get_published()),
             epoch=self._epoch,
             is_complete=self._is_complete,
         )
-        self._context.send(stream_id, whole)
+        self._context.send(stream_id, snapshot)
 
     def check(self, now_s: float) -> None:
-        """Drop the silent, place the unknown, and tell entries."""
+        """Expire and register upstreams, and publish changes."""
         is_due = now_s >= self._checked_s + _CHECK_INTERVAL_S
         if not is_due and not self._is_changed:
             return
@@ -78,14 +78,14 @@
         self._is_changed = False
         self._roster.expire(now_s)
         self._send_changes(now_s)
-        self._place_unknown(now_s)
+        self._register_unknown(now_s)
 
     def _send_changes(self, now_s: float) -> None:
         changes = self._roster.publish_changes(now_s)
         if self._roster.is_complete(now_s) and not self._is_complete:
             self._is_complete = True
             for stream_id in self._sessions.sessions:
-                self.send_whole(stream_id, now_s)
+                self.send_snapshot(stream_id, now_s)
         elif changes.changed or changes.removed_handles:
             message = RosterChanged(
                 *_split(changes.changed),
@@ -96,10 +96,10 @@
             for stream_id in self._sessions.sessions:
                 self._context.send(stream_id, message)
 
-    def _place_unknown(self, now_s: float) -> None:
-        # An instance that the log does not know goes into the pool that it
-        # announces; from then on only an operator or a move changes that.
-        if now_s < self._placed_s + _PLACE_INTERVAL_S:
+    def _register_unknown(self, now_s: float) -> None:
+        # An unregistered instance joins the pool that it announces; after that
+        # only an operator or a move assigns it to another pool.
+        if now_s < self._registered_s + _REGISTER_INTERVAL_S:
             return
         state = self._context.state
         unknown = [
@@ -109,8 +109,10 @@
             and one.pool in state.document.pools
         ]
         if unknown:
-            self._placed_s = now_s
-            command = RegisterInstances(tuple(unknown[:_PLACED_AT_ONCE]))
+            self._registered_s = now_s
+            command = RegisterInstances(
+                tuple(unknown[:_MAX_REGISTERED_AT_ONCE])
+            )
             self._context.propose(command, INTERNAL_REQUEST, now_s)
 
 
--- a/src/sardinemast/control/_slot_allocator.py
+++ b/src/sardinemast/control/_slot_allocator.py
@@ -1,15 +1,15 @@
-"""The leader's side of shares: pools' slots split over entries and teams."""
+"""Allot pools' slots to entries and teams at the leader."""
 
 from sardinemast.control._context import ControlContext
 from sardinemast.control._sessions import EntrySessions, Session
 from sardinemast.grants import PoolShares, TeamQuota
 from sardinemast.protocol import AllotSlots, PoolAllotment, ReportPools
 
-_INTERVAL_S = 0.04
+_PLAN_INTERVAL_S = 0.04
 
 
 class SlotAllocator:
-    """Allot slots by demand and by what each team has used."""
+    """Allot slots by current demand and past use of each team."""
 
     def __init__(
         self, context: ControlContext, sessions: EntrySessions
@@ -17,39 +17,39 @@
         self._context = context
         self._sessions = sessions
         self._pools: dict[str, PoolShares] = {}
-        self._entries_of: dict[str, set[str]] = {}
-        self._told: dict[int, tuple[PoolAllotment, ...]] = {}
+        self._pools_by_entry: dict[str, set[str]] = {}
+        self._sent_allotments: dict[int, tuple[PoolAllotment, ...]] = {}
         self._planned_s = float('-inf')
 
     def start_term(self) -> None:
-        """Forget what entries reported to a former leadership."""
+        """Clear reports and allotments of an earlier term."""
         self._pools.clear()
-        self._entries_of.clear()
-        self._told.clear()
+        self._pools_by_entry.clear()
+        self._sent_allotments.clear()
 
-    def take_report(self, session: Session, report: ReportPools) -> None:
-        """Take what an entry does in each pool that it uses."""
-        fresh = {use.pool for use in report.pools}
-        for pool in self._entries_of.get(session.entry, set()) - fresh:
+    def handle_report(self, session: Session, report: ReportPools) -> None:
+        """Record what an entry reports for each pool that it uses."""
+        reported = {use.pool for use in report.pools}
+        for pool in self._pools_by_entry.get(session.entry, set()) - reported:
             self._pools[pool].remove_entry(session.entry)
-        self._entries_of[session.entry] = fresh
+        self._pools_by_entry[session.entry] = reported
         for use in report.pools:
             shares = self._pools.setdefault(use.pool, PoolShares(use.pool))
             shares.record_use(session.entry, use)
 
     def tick(self, now_s: float) -> None:
-        """Allot all pools again when it is time."""
-        if now_s < self._planned_s + _INTERVAL_S or not self._pools:
+        """Recompute the allotments when due, and send those that changed."""
+        if now_s < self._planned_s + _PLAN_INTERVAL_S or not self._pools:
             return
         self._planned_s = now_s
         sessions = {
             session.entry: session
             for session in self._sessions.sessions.values()
         }
-        self._drop_gone(set(sessions))
-        self._told = {
+        self._remove_disconnected(set(sessions))
+        self._sent_allotments = {
             stream_id: parts
-            for stream_id, parts in self._told.items()
+            for stream_id, parts in self._sent_allotments.items()
             if stream_id in self._sessions.sessions
         }
         entries = tuple(sorted(sessions))
@@ -62,20 +62,21 @@
         plans = [
             shares.plan(terms, entries, now_s)
             for shares in self._pools.values()
-            # Of a pool that nobody uses at the moment nothing is allotted:
-            # each entry takes its even part, so that the next request starts
-            # at once.
+            # An idle pool is not allotted; entries then default to an even
+            # split, so that the next request starts at once.
             if shares.is_used()
         ]
         for entry, session in sessions.items():
-            self._tell(session, tuple(plan[entry] for plan in plans))
+            self._send_allotments(session, tuple(plan[entry] for plan in plans))
 
-    def _drop_gone(self, connected: set[str]) -> None:
-        for entry in set(self._entries_of) - connected:
-            for pool in self._entries_of.pop(entry):
+    def _remove_disconnected(self, connected: set[str]) -> None:
+        for entry in set(self._pools_by_entry) - connected:
+            for pool in self._pools_by_entry.pop(entry):
                 self._pools[pool].remove_entry(entry)
 
-    def _tell(self, session: Session, parts: tuple[PoolAllotment, ...]) -> None:
-        if self._told.get(session.stream_id) != parts:
-            self._told[session.stream_id] = parts
+    def _send_allotments(
+        self, session: Session, parts: tuple[PoolAllotment, ...]
+    ) -> None:
+        if self._sent_allotments.get(session.stream_id) != parts:
+            self._sent_allotments[session.stream_id] = parts
             self._context.send(session.stream_id, AllotSlots(parts))
--- a/src/sardinemast/control/_snapshots.py
+++ b/src/sardinemast/control/_snapshots.py
@@ -1,4 +1,4 @@
-"""The replicated state as the bytes of a snapshot."""
+"""Encoding of the replicated state in snapshots."""
 
 import cbor2
 
@@ -7,14 +7,14 @@
 
 
 def encode_snapshot(state: FleetState) -> bytes:
-    """Give the whole state as CBOR."""
+    """Return the whole state as CBOR."""
     return cbor2.dumps(dump_plain(dump_state(state)))
 
 
 def restore_snapshot(state: FleetState, image: bytes) -> None:
-    """Put the state of an image in place of what the state holds.
+    """Replace the contents of a state by those of a snapshot.
 
-    The desks of the core share the object, so that it stays the same one.
+    The object stays the same, since the parts of the core share it.
     """
     found = load_state(load_plain(FleetImage, cbor2.loads(image)))
     state.__dict__.update(found.__dict__)
--- a/src/sardinemast/control/_state_streams.py
+++ b/src/sardinemast/control/_state_streams.py
@@ -1,16 +1,16 @@
-"""State that goes out on entries' streams, each command once and in order."""
+"""Replicated state on entries' streams, each command once and in order."""
 
 from sardinemast.control._context import ControlContext
 from sardinemast.control._sessions import EntrySessions, Session
 from sardinemast.fleet import EntryUpdate, dump_for_entry
 from sardinemast.protocol import AppliedCommand, StateChanged, StateReplaced
 
-_EMPTY_INTERVAL_S = 0.1
-_WHOLE_INTERVAL_S = 2.0
+_INDEX_INTERVAL_S = 0.1
+_RESEND_INTERVAL_S = 2.0
 
 
 class StateStreams:
-    """Know up to which index each stream has been sent the log."""
+    """Send entries the state and then the commands that change it."""
 
     def __init__(
         self,
@@ -21,67 +21,70 @@
         self._sessions = sessions
         self._sent_index: dict[int, int] = {}
         self._sent_s: dict[int, float] = {}
-        self._whole_s: dict[int, float] = {}
-        self._fresh: list[EntryUpdate] = []
+        self._snapshot_sent_s: dict[int, float] = {}
+        self._unsent: list[EntryUpdate] = []
 
-    def send_whole(self, session: Session, now_s: float) -> None:
-        """Send the state as it is now."""
+    def send_snapshot(self, session: Session, now_s: float) -> None:
+        """Send the whole current state."""
         state = self._context.state
         image = dump_for_entry(state, session.entry, session.incarnation)
         self._context.send(session.stream_id, StateReplaced(image))
         self._sent_index[session.stream_id] = state.log_index
-        self._whole_s[session.stream_id] = now_s
+        self._snapshot_sent_s[session.stream_id] = now_s
 
-    def send_whole_again(self, session: Session, now_s: float) -> None:
-        """Send the state to an entry that stays behind, now and then.
+    def resend_snapshot(self, session: Session, now_s: float) -> None:
+        """Send the whole state again, at most every ``_RESEND_INTERVAL_S``.
 
-        Should a message have been lost after which none came, the entry
-        cannot know, and would have no lease until the next change.
+        An entry cannot detect the loss of the latest message, and would get
+        no lease until the next change.
         """
-        if now_s >= self._whole_s[session.stream_id] + _WHOLE_INTERVAL_S:
-            self.send_whole(session, now_s)
+        if (
+            now_s
+            >= self._snapshot_sent_s[session.stream_id] + _RESEND_INTERVAL_S
+        ):
+            self.send_snapshot(session, now_s)
 
-    def note_applied(self, applied: EntryUpdate) -> None:
-        """Note a command for the entries."""
+    def handle_applied(self, applied: EntryUpdate) -> None:
+        """Queue an applied command for the entries."""
         if self._sessions.sessions:
-            self._fresh.append(applied)
+            self._unsent.append(applied)
 
-    def send_fresh(self, now_s: float) -> None:
-        """Send the entries what was applied since the last call."""
+    def send_applied(self, now_s: float) -> None:
+        """Send the entries the commands queued since the last call."""
         for session in self._sessions.sessions.values():
-            self._send_fresh(session, now_s)
-        self._fresh.clear()
+            self._send_applied(session, now_s)
+        self._unsent.clear()
 
-    def forget_closed(self) -> None:
-        """Drop what is known of streams that have ended."""
+    def discard_closed(self) -> None:
+        """Discard the positions of closed streams."""
         for stream_id in self._sent_index.keys() - self._sessions.sessions:
             self._sent_index.pop(stream_id)
-            self._whole_s.pop(stream_id)
+            self._snapshot_sent_s.pop(stream_id)
             self._sent_s.pop(stream_id, None)
 
-    def _send_fresh(self, session: Session, now_s: float) -> None:
+    def _send_applied(self, session: Session, now_s: float) -> None:
         stream_id = session.stream_id
         sent_index = self._sent_index[stream_id]
         log_index = self._context.state.log_index
-        commands = self._select(session, sent_index)
-        sent_s = self._sent_s.get(stream_id, now_s - _EMPTY_INTERVAL_S)
-        # Most commands change grants of other entries. The index alone is
-        # sent now and then, or it would cost as much as the commands.
-        is_due = bool(commands) or now_s >= sent_s + _EMPTY_INTERVAL_S
+        commands = self._select_commands(session, sent_index)
+        sent_s = self._sent_s.get(stream_id, now_s - _INDEX_INTERVAL_S)
+        # Most commands concern other entries. A bare index is sent at most
+        # every _INDEX_INTERVAL_S, since it costs as much as a command.
+        is_due = bool(commands) or now_s >= sent_s + _INDEX_INTERVAL_S
         if log_index > sent_index and is_due:
             changed = StateChanged(commands, sent_index, log_index)
             self._context.send(stream_id, changed)
             self._sent_index[stream_id] = log_index
             self._sent_s[stream_id] = now_s
 
-    def _select(
+    def _select_commands(
         self,
         session: Session,
         sent_index: int,
     ) -> tuple[AppliedCommand, ...]:
         return tuple(
             AppliedCommand(one.log_index, payload)
-            for one in self._fresh
+            for one in self._unsent
             for payload in (
                 one.payload,
                 one.payload_by_holder.get(session.holder, b''),
--- a/tests/control/test_apply_queue.py
+++ b/tests/control/test_apply_queue.py
@@ -1,4 +1,4 @@
-"""A replica that learns at once that its whole log is committed."""
+"""Applying a long committed log in bounded steps."""
 
 from random import Random
 
@@ -10,8 +10,8 @@
 _ENTRIES = 3000
 _STEP_S = 0.02
 _STEPS = 200
-# Some 10 ms of work, a small part of the time that followers wait.
-_APPLIED_AT_MOST = 64
+# Keeps a step well below the election timeout.
+_MAX_APPLIED_PER_STEP = 64
 
 
 def _make_log() -> tuple[consensus.LogEntry, ...]:
@@ -27,7 +27,7 @@
 
 
 def _apply_all(core: control.ControlCore, now_s: float) -> list[int]:
-    """Give how many entries each step applied until none is left."""
+    """Return the number of entries applied by each step until none is left."""
     applied = []
     event: control.ControlEvent = control.Tick(1)
     while True:
@@ -39,12 +39,11 @@
         event = control.ApplyDue()
 
 
-def test_log_of_a_busy_day_is_applied_in_steps_after_a_restart() -> None:
-    """All control processes lose power, and one is elected.
+def test_long_log_is_applied_in_steps_after_a_restart() -> None:
+    """A restarted leader applies a long log in bounded steps.
 
-    It applied thousands of entries in one go, and planned after each of them.
-    Meanwhile it sent no heartbeat, the others elected the next one, and five
-    leaders in a row lost their terms. Callers waited for four seconds.
+    Guards against missed heartbeats and repeated elections while thousands of
+    entries are applied in one step.
     """
     settings = control.ControlSettings(
         consensus.ReplicaSettings('control-1', ('control-1',)),
@@ -57,6 +56,6 @@
         folder=consensus.FolderIdentity('a', may_found=False),
     )
     for step in range(_STEPS):
-        assert max(_apply_all(core, step * _STEP_S)) <= _APPLIED_AT_MOST
+        assert max(_apply_all(core, step * _STEP_S)) <= _MAX_APPLIED_PER_STEP
     assert core.is_leader(_STEPS * _STEP_S)
     assert core.state.log_index >= _ENTRIES
--- a/tests/control/test_in_force_cases.py
+++ b/tests/control/test_in_force_cases.py
@@ -1,4 +1,4 @@
-"""What an operator is told about a change being in force."""
+"""When an operator is told that a change is in force."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def cluster() -> Cluster:
-    """Make a leader and two entries that serve."""
+    """Return a leader and two serving entries."""
     made = Cluster()
     made.add(Process('entry-1', 1))
     made.add(Process('entry-2', 1))
@@ -29,12 +29,11 @@
     assert (answer.entries_in_force, answer.entries_total) == (2, 2)
 
 
-def test_old_incarnation_that_lives_on_is_counted(cluster: Cluster) -> None:
-    """Wait for the lease of an entry that was started a second time.
+def test_frozen_former_incarnation_is_counted(cluster: Cluster) -> None:
+    """The answer waits for the lease of a frozen former incarnation.
 
-    An entry freezes and the platform starts it again under the same name. If
-    only the new process is counted, the operator is told that the key is
-    withdrawn; the old one wakes and still takes it.
+    Guards against a process that wakes up and accepts a key after the
+    operator was told that it is withdrawn.
     """
     old = cluster.processes[0]
     old.is_frozen = True
@@ -47,10 +46,10 @@
 
 
 def test_new_leader_counts_a_former_incarnation(cluster: Cluster) -> None:
-    """Wait for a lease that only the former leader knows of.
+    """A new leader waits for leases that only its predecessor granted.
 
-    The entry is started again, then the leader dies. The next leader never
-    saw the old process; it knows from the log that it may have a lease.
+    Guards against ignoring a former incarnation that the new leader knows
+    from the log alone.
     """
     old = cluster.processes[0]
     old.is_frozen = True
@@ -65,7 +64,7 @@
 
 
 def test_frozen_entry_delays_by_one_lease(cluster: Cluster) -> None:
-    """Answer once the lease of a frozen entry has surely ended."""
+    """The answer comes once the lease of a frozen entry has expired."""
     cluster.processes[0].is_frozen = True
     cluster.ask(3, WithdrawKey('c3', 'k1'))
     cluster.advance(2.5)
@@ -75,10 +74,10 @@
 
 
 def test_entry_that_does_not_apply_gets_no_lease(cluster: Cluster) -> None:
-    """Refuse the renewal of an entry that stays behind.
+    """An entry that lags behind the log gets no lease.
 
-    An entry takes in messages too slowly, but its renewals come through. If
-    it got its lease, the operator would wait for ever.
+    Guards against an operator who waits forever for an entry that renews its
+    lease but does not apply commands.
     """
     cluster.processes[0].is_slow = True
     cluster.ask(3, WithdrawKey('c3', 'k1'))
@@ -87,8 +86,8 @@
     assert not cluster.processes[0].is_serving(cluster.now_s)
 
 
-def test_cut_off_entry_comes_back_without_reverting(cluster: Cluster) -> None:
-    """Let an entry that was away for an hour serve by the new state only."""
+def test_reconnected_entry_serves_the_new_state(cluster: Cluster) -> None:
+    """An entry that reconnects after an hour serves only the new state."""
     away = cluster.processes[0]
     away.is_cut = True
     cluster.ask(3, WithdrawKey('c3', 'k1'))
@@ -102,11 +101,10 @@
 
 
 def test_resend_changes_no_entry(cluster: Cluster) -> None:
-    """Send entries nothing for a command that is only repeated.
+    """A resent command is not forwarded to entries.
 
-    A key is withdrawn and granted again under the same id. Then the lost
-    withdrawal is sent once more; at the entries, which remember no commands,
-    it would take the new key away.
+    Guards against a resent withdrawal that removes a key which has since been
+    granted again under the same id.
     """
     cluster.ask(3, WithdrawKey('c3', 'k1'))
     cluster.ask(4, GrantKey('c4', 'k1', 'petits-pixels', KEY_DIGEST))
@@ -118,11 +116,10 @@
 
 
 def test_entry_that_missed_a_message_recovers(cluster: Cluster) -> None:
-    """Send the whole state to an entry that stays behind.
+    """The whole state is sent again to an entry that lags.
 
-    One message of a stream is lost and nothing follows it. The entry does not
-    know, gets no lease any more, and would refuse all callers until the next
-    change.
+    Guards against an entry that misses the last message of its stream and
+    gets no lease until the next change.
     """
     process = cluster.processes[0]
     process.is_slow = True
@@ -134,10 +131,11 @@
     assert process.core.state.keys_by_id == {}
 
 
-def test_gap_is_noticed(cluster: Cluster) -> None:
-    """Apply nothing after a message that was lost.
+def test_gap_in_the_stream_is_detected(cluster: Cluster) -> None:
+    """An entry applies no command after a lost message.
 
-    The entry would have the right index and still take the key.
+    Guards against an entry that has the latest index but still accepts a
+    withdrawn key.
     """
     process = cluster.processes[0]
     process.is_slow = True
--- a/tests/control/test_operator_answers.py
+++ b/tests/control/test_operator_answers.py
@@ -1,4 +1,4 @@
-"""What an operator is told when a leader is lost."""
+"""Answers to operators when the leader is lost."""
 
 from random import Random
 
@@ -6,12 +6,11 @@
 from sardinemast.fleet import WithdrawKey
 
 
-def test_command_of_a_lost_leader_may_still_be_accepted() -> None:
-    """Say that the outcome is unknown when the leader steps down.
+def test_outcome_is_unknown_when_the_leader_steps_down() -> None:
+    """The outcome of a proposed command is unknown after a step-down.
 
-    The command stands in the log of a leader that another one replaces. The
-    next leader may have it or not; told 'not accepted', the operator would
-    believe that the key still works, or send something else.
+    Guards against the answer 'not accepted' to a command that the next leader
+    may still commit.
     """
     voters = ('control-1', 'control-2', 'control-3')
     core = control.ControlCore(
--- a/tests/control/test_slot_allocator.py
+++ b/tests/control/test_slot_allocator.py
@@ -1,4 +1,4 @@
-"""The leader's allotment of pools' slots."""
+"""Allotment of pools' slots by the leader."""
 
 from builders import make_document
 from sardinemast.control._context import ControlContext
@@ -10,11 +10,10 @@
 
 
 def test_idle_pool_is_left_to_the_entries() -> None:
-    """Allot nothing of a pool that nobody uses at the moment.
+    """An idle pool is not allotted.
 
-    A caller sends one request after the other, and the entry reports between
-    two of them that nothing runs. If the leader then took all slots away, the
-    next request would wait for a report and its answer, 50 ms and more.
+    Guards against delaying the first request after an idle moment until the
+    entry has reported it and got its allotment.
     """
     state = FleetState()
     apply_command(state, ApplyDocument('c', 0, make_document()), 1)
@@ -22,16 +21,16 @@
     sessions = EntrySessions()
     session = Session(1, 'entry-1', 1)
     sessions.open(session)
-    desk = SlotAllocator(
+    allocator = SlotAllocator(
         ControlContext(state, outputs, lambda *_: None, 3),
         sessions,
     )
     use = PoolUse('enrolment', 8, (TeamUse('petits-pixels', 1, 0, 0),))
-    desk.take_report(session, ReportPools((use,)))
-    desk.tick(0)
+    allocator.handle_report(session, ReportPools((use,)))
+    allocator.tick(0)
     assert [part.slots for part in _get_last(outputs).pools] == [8]
-    desk.take_report(session, ReportPools(()))
-    desk.tick(1)
+    allocator.handle_report(session, ReportPools(()))
+    allocator.tick(1)
     assert _get_last(outputs).pools == ()
 
 
--- a/tests/control/test_snapshots.py
+++ b/tests/control/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Control processes that go on from a snapshot."""
+"""Restart of a control process from a snapshot."""
 
 from random import Random
 
@@ -13,11 +13,10 @@
 )
 
 
-def test_snapshot_brings_the_state_back() -> None:
-    """Show operators the same state after a restart from a snapshot.
+def test_snapshot_restores_the_state() -> None:
+    """A restart from a snapshot restores the same state.
 
-    The log that led to the state has been dropped. Whatever the snapshot
-    lacks is gone for good.
+    Guards against state that the snapshot lacks: the log before it is gone.
     """
     core = control.ControlCore(_SETTINGS, consensus.HardState(), (), Random(1))
     command = ApplyDocument('c1', 0, make_document())
