--- a/src/sardinemast/idempotency/__init__.py
+++ b/src/sardinemast/idempotency/__init__.py
@@ -1,4 +1,4 @@
-"""Recognise a caller's resend over all entries, so that nothing runs twice."""
+"""Detect resent requests across all entries, so that none runs twice."""
 
 from sardinemast.idempotency._core import (
     CLAIM_TIMEOUT_S,
--- a/src/sardinemast/idempotency/_events.py
+++ b/src/sardinemast/idempotency/_events.py
@@ -1,4 +1,4 @@
-"""What goes into the core and what comes out of it."""
+"""Input events and outputs of the idempotency core."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -13,24 +13,24 @@
 
 
 class Tick(NamedTuple):
-    """Tell the core that time has passed."""
+    """Trigger the core's periodic work."""
 
 
 class ViewChanged(NamedTuple):
-    """Hand over the entries of a newer state."""
+    """Report the entries registered in a newer state."""
 
     view: View
 
 
 class PeerReceived(NamedTuple):
-    """Hand over a message of another entry."""
+    """Report a message received from another entry."""
 
     sender: Member
     message: PeerMessage
 
 
 class ClaimRequested(NamedTuple):
-    """Ask whether a request may run; see ``Claim`` for the fields."""
+    """Request permission to run; see ``Claim`` for the fields."""
 
     request_id: int
     key: bytes
@@ -39,9 +39,9 @@
 
 
 class RequestEnded(NamedTuple):
-    """Tell how a request with a granted claim ended.
+    """Report how a request with a granted claim ended.
 
-    ``released`` may be said only where no byte has left for an upstream.
+    ``released`` is only allowed if nothing was sent to an upstream.
     """
 
     request_id: int
@@ -50,7 +50,7 @@
 
 
 class ClaimVerdict(StrEnum):
-    """Tell what a request with a key may do."""
+    """State whether a request with a key may run, or why not."""
 
     granted = 'granted'
     in_progress = 'in progress'
@@ -61,7 +61,7 @@
 
 
 class ClaimDecided(NamedTuple):
-    """Answer a wanted claim, once."""
+    """Return the one decision on a requested claim."""
 
     request_id: int
     verdict: ClaimVerdict
--- a/src/sardinemast/idempotency/_holder.py
+++ b/src/sardinemast/idempotency/_holder.py
@@ -1,4 +1,4 @@
-"""One entry's part of the memory of claims."""
+"""Hold claims on keys for all entries."""
 
 from sardinemast.idempotency._messages import (
     ClaimAsked,
@@ -20,13 +20,13 @@
 from sardinemast.idempotency._rendezvous import get_holders
 
 
-class Holder:
-    """Note claims, and vote only on keys of which nothing can be missing.
+class KeyHolder:
+    """Record claims, and vote only on keys whose claims are all known.
 
-    A process that has just started has an empty memory. A vote from it could
-    complete a majority that knows nothing of an earlier claim, and a booking
-    would run twice. So it first hears from the other holders of a key, or
-    waits until all that it may have lost is past its time.
+    Claims are kept in memory only. A process that has just started could
+    complete a majority that does not know an earlier claim, and the request
+    would run twice. Therefore it first syncs with the other holders of a
+    key, or waits until any claim it may have lost has expired.
     """
 
     def __init__(self, own: Member, now_s: float) -> None:
@@ -34,39 +34,40 @@
         self._started_s = now_s
         self._view = View(0, ())
         self._records = RecordTable()
-        self._missing: set[str] | None = None
+        self._unsynced: set[str] | None = None
 
-    def take_view(self, view: View) -> None:
-        """Take a newer view; the first with this start tells who is missing.
+    def handle_view(self, view: View) -> None:
+        """Apply a newer view, and choose the entries to sync with.
 
-        Entries that come later have this one in their first view, and ask
-        it; so two that start for the first time do not wait for each other.
+        Those are the members of the first view that lists this incarnation.
+        Entries that register later sync with this one, so that two entries
+        that start for the first time do not wait for each other.
         """
         self._view = view
-        if self._missing is None and self._own in view.members:
-            self._missing = {one.entry for one in view.members}
-            self._missing.discard(self._own.entry)
+        if self._unsynced is None and self._own in view.members:
+            self._unsynced = {one.entry for one in view.members}
+            self._unsynced.discard(self._own.entry)
 
-    def get_missing(self, now_s: float) -> tuple[str, ...]:
-        """Give the entries that must still be heard."""
+    def get_unsynced(self, now_s: float) -> tuple[str, ...]:
+        """Return the entries that this one has not synced with yet."""
         if now_s >= self._started_s + RETENTION_S:
             return ()
-        return tuple(sorted(self._missing or ()))
+        return tuple(sorted(self._unsynced or ()))
 
-    def is_complete(self, now_s: float) -> bool:
-        """Tell whether this entry votes on every key that it holds."""
-        return self._missing is not None and not self.get_missing(now_s)
+    def is_synced(self, now_s: float) -> bool:
+        """Check whether this entry may vote on every key that it holds."""
+        return self._unsynced is not None and not self.get_unsynced(now_s)
 
     def expire(self, now_s: float) -> None:
-        """Forget what is past its time."""
+        """Remove expired claims."""
         self._records.expire(now_s)
 
-    def take_claim(
+    def handle_claim(
         self,
         asked: ClaimAsked,
         now_s: float,
     ) -> ClaimGranted | ClaimKnown | None:
-        """Note a claim, tell what is known instead, or abstain."""
+        """Record a claim, report the known one instead, or abstain."""
         self._records.expire(now_s)
         claim = asked.claim
         if asked.epoch != self._view.epoch or not self._may_vote(
@@ -74,9 +75,11 @@
         ):
             return None
         known = self._records.get(claim.key)
-        others = [one for one in known if one.claim.claim_id != claim.claim_id]
-        if others:
-            return self._describe(asked, others, now_s)
+        other_claims = [
+            one for one in known if one.claim.claim_id != claim.claim_id
+        ]
+        if other_claims:
+            return self._report_known(asked, other_claims, now_s)
         if known and known[0].outcome is not ClaimOutcome.started:
             return None
         if not known:
@@ -85,23 +88,23 @@
             self._records.add(Record(claim, ClaimOutcome.started, None, now_s))
         return ClaimGranted(asked.epoch, claim.claim_id)
 
-    def take_end(self, ended: ClaimEnded) -> None:
-        """Note how a claim ended."""
+    def handle_end(self, ended: ClaimEnded) -> None:
+        """Record how a claim ended."""
         answer = ended.answer
         if answer is not None and len(answer.body) > MAX_ANSWER_BYTES:
             answer = None
         self._records.end(ended.key, ended.claim_id, ended.outcome, answer)
 
-    def take_sync(
+    def handle_sync_request(
         self,
         sender: Member,
         asked: SyncAsked,
         now_s: float,
     ) -> SyncAnswered | None:
-        """Give what the sender should hold, in the same epoch only.
+        """Return the claims that the sender should hold, in equal epochs only.
 
-        From then on no claim of an older epoch is granted here, so nothing
-        that the sender must know can come after this answer.
+        Claims of older epochs are no longer granted here, so no claim that
+        the sender has to know can be granted after this answer.
         """
         members = self._view.members
         if asked.epoch != self._view.epoch or sender not in members:
@@ -116,22 +119,23 @@
                 for record in self._records.get_all()
                 if sender.entry in self._get_holders(record.claim.key)
             ),
-            self.get_missing(now_s),
+            self.get_unsynced(now_s),
         )
 
-    def take_copies(
+    def handle_copies(
         self,
         sender: Member,
         answered: SyncAnswered,
         now_s: float,
     ) -> None:
-        """Take what another holder knows.
+        """Store the claims of another holder.
 
-        One that misses this entry's own memory has started lately too; what
-        only the two of us knew is lost, and no answer can make up for it.
+        A sender that still has to sync with this entry has restarted too.
+        Claims known only to the two are lost, so its answer does not count
+        as a sync.
         """
-        # A former start of the sender may have answered, whose memory is
-        # gone, or a newer one that does not hold anything yet.
+        # The answer may come from an earlier incarnation of the sender, whose
+        # claims are lost, or from a newer one that holds none yet.
         if (
             answered.epoch != self._view.epoch
             or sender not in self._view.members
@@ -146,31 +150,31 @@
                     now_s - copied.age_s,
                 )
             )
-        if self._missing and self._own.entry not in answered.missing:
-            self._missing.discard(sender.entry)
+        if self._unsynced and self._own.entry not in answered.unsynced:
+            self._unsynced.discard(sender.entry)
 
     def _may_vote(self, key: bytes, now_s: float) -> bool:
-        if self._missing is None:
+        if self._unsynced is None:
             return False
         holders = self._get_holders(key)
-        missing = set(self.get_missing(now_s))
-        return self._own.entry in holders and missing.isdisjoint(holders)
+        unsynced = set(self.get_unsynced(now_s))
+        return self._own.entry in holders and unsynced.isdisjoint(holders)
 
-    def _describe(
+    def _report_known(
         self,
         asked: ClaimAsked,
-        others: list[Record],
+        other_claims: list[Record],
         now_s: float,
     ) -> ClaimKnown:
         record = min(
-            others,
+            other_claims,
             key=lambda one: (
                 one.outcome is not ClaimOutcome.answered,
                 one.outcome is not ClaimOutcome.unknown,
             ),
         )
         outcome = record.outcome
-        if outcome is ClaimOutcome.started and self._is_over(record, now_s):
+        if outcome is ClaimOutcome.started and self._is_orphaned(record, now_s):
             outcome = ClaimOutcome.unknown
         return ClaimKnown(
             asked.claim.claim_id,
@@ -179,7 +183,7 @@
             record.answer,
         )
 
-    def _is_over(self, record: Record, now_s: float) -> bool:
+    def _is_orphaned(self, record: Record, now_s: float) -> bool:
         claimant = Member(*record.claim.claim_id[:2])
         return (
             claimant not in self._view.members
--- a/src/sardinemast/idempotency/_messages.py
+++ b/src/sardinemast/idempotency/_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between entries."""
+"""Typed messages that entries exchange about claims."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,26 +7,26 @@
 
 
 class Member(NamedTuple):
-    """Name one start of an entry."""
+    """Identify one incarnation of an entry."""
 
     entry: str
     incarnation: int
 
 
 class View(NamedTuple):
-    """Hold the entries that the log knows at an index."""
+    """Hold the entries registered in the log as of an index."""
 
     epoch: int
     members: tuple[Member, ...]
 
     @property
     def entries(self) -> tuple[str, ...]:
-        """Give the names of the entries."""
+        """Return the names of the entries."""
         return tuple(one.entry for one in self.members)
 
 
 class ClaimId(NamedTuple):
-    """Name one claim; no other start of any entry makes the same."""
+    """Identify one claim across all incarnations of all entries."""
 
     entry: str
     incarnation: int
@@ -48,7 +48,7 @@
 
 
 class ClaimOutcome(StrEnum):
-    """Tell how a claim stands or ended."""
+    """State how a claim ended, or that its request has started."""
 
     started = 'started'
     answered = 'answered'
@@ -57,7 +57,7 @@
 
 
 class StoredAnswer(NamedTuple):
-    """Hold an upstream's whole answer for resends."""
+    """Hold an upstream's complete answer, to be replayed to resends."""
 
     code: int
     reason: str
@@ -66,21 +66,21 @@
 
 
 class ClaimAsked(NamedTuple):
-    """Ask a holder to note a claim before anything is sent."""
+    """Ask a holder to record a claim before the request is sent."""
 
     epoch: int
     claim: Claim
 
 
 class ClaimGranted(NamedTuple):
-    """Tell that the claim is noted and no other is known."""
+    """Confirm that the claim is recorded and no other one is known."""
 
     epoch: int
     claim_id: ClaimId
 
 
 class ClaimKnown(NamedTuple):
-    """Tell what is known of the key instead."""
+    """Decline a claim and report the known claim of the same key."""
 
     claim_id: ClaimId
     content_digest: bytes
@@ -89,7 +89,7 @@
 
 
 class ClaimEnded(NamedTuple):
-    """Tell a holder how a claim ended."""
+    """Report to a holder how a claim ended."""
 
     claim_id: ClaimId
     key: bytes
@@ -98,13 +98,13 @@
 
 
 class SyncAsked(NamedTuple):
-    """Ask for what the asking entry should hold and has lost."""
+    """Ask a holder for the claims that the sender should hold too."""
 
     epoch: int
 
 
 class CopiedClaim(NamedTuple):
-    """Hold a claim as a holder has it; ``age_s`` counts from its start."""
+    """Hold a copy of a claim; ``age_s`` counts from its start."""
 
     claim: Claim
     outcome: ClaimOutcome
@@ -113,11 +113,11 @@
 
 
 class SyncAnswered(NamedTuple):
-    """Send the claims, and tell of whom the sender itself has heard nothing."""
+    """Send copies of claims, and the entries the sender still has to hear."""
 
     epoch: int
     copies: tuple[CopiedClaim, ...]
-    missing: tuple[str, ...]
+    unsynced: tuple[str, ...]
 
 
 PeerMessage = (
--- a/src/sardinemast/idempotency/_rendezvous.py
+++ b/src/sardinemast/idempotency/_rendezvous.py
@@ -1,25 +1,25 @@
-"""Which entries hold a key, by rendezvous hashing (Thaler, Ravishankar)."""
+"""Assign keys to entries by rendezvous hashing (Thaler, Ravishankar)."""
 
 import hashlib
 from functools import lru_cache
 
-HOLDERS = 3
+HOLDERS_PER_KEY = 3
 _CACHED_KEYS = 4096
 
 
 @lru_cache(maxsize=_CACHED_KEYS)
 def get_holders(key: bytes, entries: tuple[str, ...]) -> tuple[str, ...]:
-    """Give the entries that hold a key.
+    """Return the entries that hold a key.
 
-    An entry that is added takes the place of one holder of some keys, and
-    leaves all other places as they are.
+    Adding an entry replaces at most one holder of each key; all other
+    assignments stay the same.
     """
     ranked = sorted(entries, key=lambda name: _get_weight(key, name))
-    return tuple(ranked[:HOLDERS])
+    return tuple(ranked[:HOLDERS_PER_KEY])
 
 
 def get_quorum(holders: tuple[str, ...]) -> int:
-    """Give how many holders make any two groups of them overlap."""
+    """Return the size of a majority, so that any two quorums overlap."""
     return len(holders) // 2 + 1
 
 
--- a/tests/idempotency/test_claims_fuzz.py
+++ b/tests/idempotency/test_claims_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzz entries that hold keys together: at most one run of each key."""
+"""Stateful fuzz test that each key is granted at most once."""
 
 import pytest
 from hypothesis import HealthCheck, settings
@@ -22,10 +22,10 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Hold four entries and the messages between them.
+    """Run four entries with delayed, repeated and lost messages.
 
-    The oracle notes when a key was granted. A granted request counts as run,
-    unless its entry says that it was not sent.
+    The model tracks when each key was granted. A granted request counts as
+    run unless its entry reports that it was not sent.
     """
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         self._entries = Entries()
         self._keys: dict[int, tuple[str, bytes]] = {}
         self._granted: dict[int, tuple[str, bytes]] = {}
-        self._run_s: dict[bytes, float] = {}
+        self._granted_at_s: dict[bytes, float] = {}
         for name in NAMES[:3]:
             self._entries.start(name)
             for other in self._entries.nodes:
@@ -42,23 +42,23 @@
 
     @rule(name=_NAME, sees_log=st.booleans())
     def start(self, name: str, sees_log: bool) -> None:
-        """Start an entry, or kill it and start it again."""
-        self._lose(name)
+        """Start or restart an entry."""
+        self._discard_grants_of(name)
         self._entries.start(name, sees_log=sees_log)
-        self._check()
+        self._check_decisions()
 
     @rule(name=_NAME)
     def kill(self, name: str) -> None:
         """Kill an entry."""
-        self._lose(name)
+        self._discard_grants_of(name)
         self._entries.nodes.pop(name, None)
 
     @rule(name=_NAME)
     def catch_up(self, name: str) -> None:
-        """Let an entry hear of the newest entries."""
+        """Let an entry apply the whole log."""
         if name in self._entries.nodes:
             self._entries.catch_up(name)
-            self._check()
+            self._check_decisions()
 
     @rule(name=_NAME, key=_KEY)
     def claim(self, name: str, key: bytes) -> None:
@@ -66,22 +66,22 @@
         if name in self._entries.nodes:
             self._keys[self._entries.last_request + 1] = (name, key)
             self._entries.claim(name, key)
-            self._check()
+            self._check_decisions()
 
     @rule(name=_NAME, key=_KEY, others=st.lists(_NAME, max_size=3))
     def claim_at(self, name: str, key: bytes, others: list[str]) -> None:
-        """Let a claim reach some entries only, one after the other."""
+        """Let a claim reach some entries only, in order."""
         self.claim(name, key)
-        self._talk(name, others)
+        self._exchange_messages(name, others)
 
     @rule(name=_NAME, others=st.lists(_NAME, max_size=3))
-    def hear(self, name: str, others: list[str]) -> None:
-        """Let an entry hear of newer entries and from some of them."""
+    def sync(self, name: str, others: list[str]) -> None:
+        """Let an entry apply the log and sync with some entries."""
         for one in {name, *others} & self._entries.nodes.keys():
             self._entries.catch_up(one)
         if name in self._entries.nodes:
             self._entries.feed(name, Tick())
-            self._talk(name, others)
+            self._exchange_messages(name, others)
 
     @rule(choice=_ANY, outcome=st.sampled_from(ClaimOutcome))
     def end(self, choice: int, outcome: ClaimOutcome) -> None:
@@ -90,9 +90,9 @@
             request_id = sorted(self._granted)[choice % len(self._granted)]
             name, key = self._granted.pop(request_id)
             if outcome is ClaimOutcome.released:
-                self._run_s.pop(key)
+                self._granted_at_s.pop(key)
             self._entries.end(name, RequestEnded(request_id, outcome))
-            self._check()
+            self._check_decisions()
 
     @rule(choices=st.lists(_ANY, min_size=1, max_size=12))
     def deliver(self, choices: list[int]) -> None:
@@ -101,31 +101,31 @@
         for choice in choices:
             if bag:
                 self._entries.deliver(bag.pop(choice % len(bag)))
-                self._check()
+                self._check_decisions()
 
     @rule(choice=_ANY)
     def repeat(self, choice: int) -> None:
-        """Deliver a message that will come again."""
+        """Deliver a message that will be delivered again."""
         bag = self._entries.bag
         if bag:
             self._entries.deliver(bag[choice % len(bag)])
-            self._check()
+            self._check_decisions()
 
     @rule(name=_NAME)
-    def cut(self, name: str) -> None:
-        """Lose all that is under way to an entry."""
+    def drop_messages(self, name: str) -> None:
+        """Drop all messages in transit to an entry."""
         kept = [one for one in self._entries.bag if one.to != name]
         self._entries.bag = kept
 
     @rule()
     def settle(self) -> None:
-        """Let everything arrive."""
+        """Tick all entries and deliver all messages."""
         for name in tuple(self._entries.nodes):
             self._entries.feed(name, Tick())
-            self._check()
+            self._check_decisions()
         while self._entries.bag:
             self._entries.deliver(self._entries.bag.pop(0))
-            self._check()
+            self._check_decisions()
 
     @rule(
         passed_s=st.sampled_from((0.11, 0.11, 1.0, 31.0, RETENTION_S)),
@@ -136,21 +136,21 @@
         self._entries.now_s += passed_s
         for name in sorted(names & self._entries.nodes.keys()):
             self._entries.feed(name, Tick())
-            self._check()
+            self._check_decisions()
 
-    def _talk(self, name: str, others: list[str]) -> None:
+    def _exchange_messages(self, name: str, others: list[str]) -> None:
         for other in others:
             self._entries.deliver_between(name, other)
             self._entries.deliver_between(other, name)
-        self._check()
+        self._check_decisions()
 
-    def _lose(self, name: str) -> None:
-        # What the entry had sent may run on, so it still counts.
+    def _discard_grants_of(self, name: str) -> None:
+        # Requests that the entry has sent may still run, so they count.
         for request_id, (holder, _) in tuple(self._granted.items()):
             if holder == name:
                 self._granted.pop(request_id)
 
-    def _check(self) -> None:
+    def _check_decisions(self) -> None:
         decided = self._entries.decided
         while decided:
             request_id, decision = decided.popitem()
@@ -159,13 +159,13 @@
     def _check_decision(self, request_id: int, decided: ClaimDecided) -> None:
         name, key = self._keys.pop(request_id)
         if decided.verdict is ClaimVerdict.granted:
-            earlier_s = self._run_s.get(key, float('-inf'))
+            earlier_s = self._granted_at_s.get(key, float('-inf'))
             retained_s = RETENTION_S - CLAIM_TIMEOUT_S
             assert self._entries.now_s >= earlier_s + retained_s
-            self._run_s[key] = self._entries.now_s
+            self._granted_at_s[key] = self._entries.now_s
             self._granted[request_id] = (name, key)
         elif decided.verdict is ClaimVerdict.answered:
-            assert key in self._run_s
+            assert key in self._granted_at_s
 
 
 TestClaims = pytest.mark.fuzz(ClaimMachine.TestCase)
