--- a/src/sardinemast/platform/__init__.py
+++ b/src/sardinemast/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translate between the users' platform and the product."""
+"""Adapt the platform's HTTP protocol to the records of sardinemast."""
--- a/src/sardinemast/platform/__main__.py
+++ b/src/sardinemast/platform/__main__.py
@@ -1,10 +1,10 @@
-"""Run one process on the platform by ``python -m sardinemast.platform``."""
+"""Run a process for the platform: ``python -m sardinemast.platform``."""
 
 import signal
 
-# The libraries take some tenths of a second to load. A word that the settings
-# have changed would end the process meanwhile, as a signal that nobody takes
-# does; the settings are read after this, so that nothing is missed.
+# SIGHUP asks for a reload of the settings and would end the process while it
+# still imports its libraries. Ignoring it loses nothing: the settings are read
+# after the imports.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from sardinemast.platform._run import main  # noqa: E402
--- a/src/sardinemast/platform/_caller_http.py
+++ b/src/sardinemast/platform/_caller_http.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP at an entry: jobs and queues, and readiness."""
+"""HTTP handlers of an entry: jobs, queues and readiness."""
 
 import time
 from http import HTTPStatus
@@ -18,7 +18,7 @@
 from sardinemast.shell import LeaderRelay
 
 _log = Logger('front')
-_ACTIONS = MappingProxyType(
+_ACTIONS_BY_METHOD = MappingProxyType(
     {
         'POST': JobAction.submit,
         'GET': JobAction.read,
@@ -26,14 +26,14 @@
     }
 )
 _MS = 1000
-# Callers that name no deadline wait so long; the platform's own wait 3 s.
+# For callers without a deadline; the platform's clients wait 3 s.
 _TIMEOUT_S = 2.5
-# A part of the caller's time is left for the answer's way back.
-_USED_SHARE = 0.8
+# Leaves time to return the response before the caller's deadline.
+_DEADLINE_SHARE = 0.8
 
 
-class Front:
-    """Pass callers' requests on to the leader."""
+class CallerHandler:
+    """Forward callers' requests to the leader."""
 
     def __init__(self, relay: LeaderRelay, metrics: ProcessMetrics) -> None:
         self.is_stopping = False
@@ -41,8 +41,8 @@
         self._metrics = metrics
 
     async def handle(self, request: HTTPServerRequest) -> HttpResponse:
-        """Answer a caller."""
-        action = _ACTIONS.get(request.method or '')
+        """Return the response to a caller."""
+        action = _ACTIONS_BY_METHOD.get(request.method or '')
         if action is None:
             return HttpResponse(HTTPStatus.METHOD_NOT_ALLOWED)
         job = None
@@ -50,7 +50,7 @@
             try:
                 job = make_request(decode(request.body, JobBody))
             except DECODE_ERRORS as error:
-                _log.info('Job refused: {} {}.', request.path, error)
+                _log.info('Job {} is invalid: {}.', request.path, error)
                 return HttpResponse(HTTPStatus.BAD_REQUEST)
         call = JobCall(
             action,
@@ -59,9 +59,9 @@
             request.headers.get('X-Api-Key', ''),
             job,
         )
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         answer = await self._relay.call(call, _get_timeout_s(request))
-        elapsed_s = time.monotonic() - begun_s
+        elapsed_s = time.monotonic() - started_s
         outcome = answer.outcome.value
         self._metrics.record_call(action.value, outcome, elapsed_s)
         _log.info(
@@ -73,25 +73,25 @@
         )
         body = b''
         if answer.outcome is CallOutcome.done and action is JobAction.read:
-            body = _encode_reading(answer.status, answer.waiting)
+            body = _encode_status(answer.status, answer.waiting)
         return make_response(answer, body)
 
     async def handle_ready(self, request: HTTPServerRequest) -> HttpResponse:
-        """Tell the balancer whether to send callers here."""
+        """Answer the load balancer's readiness probe."""
         is_ready = self._relay.is_connected and not self.is_stopping
         if is_ready:
             return HttpResponse(HTTPStatus.OK)
         return HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE)
 
 
-def _encode_reading(status: str, waiting: int) -> bytes:
+def _encode_status(status: str, waiting: int) -> bytes:
     if status:
         return msgspec.json.encode({'state': status})
     return msgspec.json.encode({'pending': waiting})
 
 
 def _get_timeout_s(request: HTTPServerRequest) -> float:
-    named = request.headers.get('X-Deadline-Ms', '')
-    if not named.isdigit():
+    deadline_ms = request.headers.get('X-Deadline-Ms', '')
+    if not deadline_ms.isdigit():
         return _TIMEOUT_S
-    return min(int(named) / _MS * _USED_SHARE, _TIMEOUT_S)
+    return min(int(deadline_ms) / _MS * _DEADLINE_SHARE, _TIMEOUT_S)
--- a/src/sardinemast/platform/_control_http.py
+++ b/src/sardinemast/platform/_control_http.py
@@ -1,4 +1,4 @@
-"""The platform's calls to control processes: workers and operators."""
+"""HTTP handlers of control processes, for workers and operators."""
 
 import time
 from http import HTTPStatus
@@ -13,7 +13,7 @@
 from sardinemast.platform._job_bodies import ConfigBody
 from sardinemast.platform._responses import make_response
 from sardinemast.platform._translate import make_catalog, make_worker
-from sardinemast.platform._worker_bodies import BeatBody, WaveBody
+from sardinemast.platform._worker_bodies import HeartbeatBody, WaveBody
 from sardinemast.protocol import (
     AnnounceWorker,
     BeginWave,
@@ -27,16 +27,16 @@
 from sardinemast.shell import LeaderRelay
 
 _log = Logger('control-http')
-_WORKERS = '/instances/'
-_WAVE = '/wave-get/'
-# Whoever calls gives up after a second, or later for large bodies.
+_WORKERS_PATH = '/instances/'
+_WAVE_PATH = '/wave-get/'
+# Callers time out after 1 s, and later for a large body.
 _TIMEOUT_S = 0.9
-_LARGE_TIMEOUT_S = 2.5
-_LARGE_BYTES = 16_384
+_LARGE_BODY_TIMEOUT_S = 2.5
+_LARGE_BODY_BYTES = 16_384
 
 
-class ControlFront:
-    """Pass the platform's calls on to the leader."""
+class ControlHandler:
+    """Forward requests of workers and operators to the leader."""
 
     def __init__(
         self,
@@ -47,20 +47,22 @@
         self._metrics = metrics
 
     async def handle(self, request: HTTPServerRequest) -> HttpResponse:
-        """Answer a worker or an operator."""
+        """Return the response to a worker or an operator."""
         try:
             call = _read_call(request)
         except DECODE_ERRORS as error:
-            _log.info('{} {} refused: {}.', request.method, request.path, error)
+            _log.info(
+                '{} {} is invalid: {}.', request.method, request.path, error
+            )
             return HttpResponse(HTTPStatus.BAD_REQUEST)
         if call is None:
             return HttpResponse(HTTPStatus.NOT_FOUND)
         timeout_s = _TIMEOUT_S
-        if len(request.body) > _LARGE_BYTES:
-            timeout_s = _LARGE_TIMEOUT_S
-        begun_s = time.monotonic()
+        if len(request.body) > _LARGE_BODY_BYTES:
+            timeout_s = _LARGE_BODY_TIMEOUT_S
+        started_s = time.monotonic()
         answer = await self._relay.call(call, timeout_s)
-        elapsed_s = time.monotonic() - begun_s
+        elapsed_s = time.monotonic() - started_s
         action = type(call).__name__
         self._metrics.record_call(action, answer.outcome.value, elapsed_s)
         if not isinstance(call, AnnounceWorker):
@@ -79,8 +81,8 @@
 
 def _make_body(call: Call, status: str, source: bytes) -> bytes:
     if isinstance(call, AnnounceWorker):
-        # Workers go on to call any control process. Sent to the leader, the
-        # words of hundreds would take a tenth of its time.
+        # Without a redirect to the leader, workers keep sending heartbeats to
+        # any control process, which spares the leader their HTTP requests.
         return b'{}'
     if isinstance(call, ReadWave):
         return msgspec.json.encode({'state': status})
@@ -89,8 +91,8 @@
 
 def _read_call(request: HTTPServerRequest) -> Call | None:
     method, path = request.method, request.path
-    if path.startswith(_WORKERS):
-        return _read_worker_call(request, path[len(_WORKERS) :])
+    if path.startswith(_WORKERS_PATH):
+        return _read_worker_call(request, path[len(_WORKERS_PATH) :])
     if path == '/config' and method == 'GET':
         return ReadCatalog()
     if path == '/config' and method == 'PUT':
@@ -104,15 +106,15 @@
             wave['cap'],
             wave['deadline_s'],
         )
-    if path.startswith(_WAVE) and method == 'GET':
-        return ReadWave(int(path[len(_WAVE) :]))
+    if path.startswith(_WAVE_PATH) and method == 'GET':
+        return ReadWave(int(path[len(_WAVE_PATH) :]))
     return None
 
 
 def _read_worker_call(request: HTTPServerRequest, name: str) -> Call | None:
     if request.method == 'PUT':
-        beat = decode(request.body, BeatBody)
-        return AnnounceWorker(make_worker(name, beat), beat['seq'])
+        heartbeat = decode(request.body, HeartbeatBody)
+        return AnnounceWorker(make_worker(name, heartbeat), heartbeat['seq'])
     if request.method == 'DELETE':
         return WorkerLeft(name)
     return None
--- a/src/sardinemast/platform/_decoding.py
+++ b/src/sardinemast/platform/_decoding.py
@@ -1,4 +1,4 @@
-"""Read JSON bodies into typed ones."""
+"""Decode JSON bodies into typed values."""
 
 from typing import Any
 
@@ -8,5 +8,5 @@
 
 
 def decode(body: bytes, kind: Any) -> Any:
-    """Read a JSON body, or raise ``msgspec.MsgspecError`` or ``ValueError``."""
+    """Decode a JSON body, or raise one of ``DECODE_ERRORS``."""
     return msgspec.json.decode(body, type=kind)
--- a/src/sardinemast/platform/_gateway.py
+++ b/src/sardinemast/platform/_gateway.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's workers, over HTTP."""
+"""Gateway that sends orders to the platform over HTTP."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,12 +29,12 @@
     classify_reply,
     make_attempt,
 )
-from sardinemast.platform._services import ServiceOrders
+from sardinemast.platform._services import ServiceClient
 from sardinemast.platform._translate import make_worker_report
 
 
 class PlatformGateway:
-    """Carry the leader's orders, each in a task of its own."""
+    """Send the leader's orders, each in an asyncio task of its own."""
 
     def __init__(
         self,
@@ -43,13 +43,13 @@
         advice: Address | None = None,
     ) -> None:
         self._client = PlatformClient(own_host)
-        self._services = ServiceOrders(self._client, instances, advice)
+        self._services = ServiceClient(self._client, instances, advice)
         self._tasks: set[asyncio.Task[None]] = set()
-        # Each look-up of a dispatching method makes a new function.
-        self._carry_order = self._carry
+        # Bound once: each access to a singledispatchmethod makes a function.
+        self._execute_order = self._execute
 
     async def run(self) -> None:
-        """Close connections that have gone stale, until cancelled."""
+        """Close idle connections until cancelled."""
         await self._client.run()
 
     def send(
@@ -58,7 +58,7 @@
         valid_until_s: float,
         put_event: Callable[[ControlEvent], None],
     ) -> None:
-        """Send an order, and hand over what became of it."""
+        """Send an order, and pass its outcome to ``put_event``."""
         task = asyncio.create_task(self._send(order, valid_until_s, put_event))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -69,52 +69,52 @@
         valid_until_s: float,
         put_event: Callable[[ControlEvent], None],
     ) -> None:
-        event = await self._carry_order(order, valid_until_s)
+        event = await self._execute_order(order, valid_until_s)
         if event is not None:
             put_event(event)
 
     @singledispatchmethod
-    async def _carry(
+    async def _execute(
         self,
         order: Any,
         valid_until_s: float,
     ) -> ControlEvent | None:
         raise TypeError(order)
 
-    @_carry.register
-    async def _carry_upkeep(
+    @_execute.register
+    async def _execute_maintenance(
         self,
         order: OrderMaintenance,
         valid_until_s: float,
     ) -> ControlEvent:
-        return await self._services.send_upkeep(order, valid_until_s)
+        return await self._services.send_maintenance(order, valid_until_s)
 
-    @_carry.register
-    async def _carry_move(
+    @_execute.register
+    async def _execute_move(
         self,
         order: OrderMove,
         valid_until_s: float,
     ) -> ControlEvent:
         return await self._services.send_move(order, valid_until_s)
 
-    @_carry.register
-    async def _carry_question(
+    @_execute.register
+    async def _execute_advice_request(
         self,
         order: RequestAdvice,
         valid_until_s: float,
     ) -> ControlEvent:
-        return await self._services.ask(order, valid_until_s)
+        return await self._services.request_advice(order, valid_until_s)
 
-    @_carry.register
-    async def _carry_list(
+    @_execute.register
+    async def _execute_listing(
         self,
         order: ListInstances,
         valid_until_s: float,
     ) -> ControlEvent | None:
         return await self._services.list_instances(order, valid_until_s)
 
-    @_carry.register
-    async def _carry_look(
+    @_execute.register
+    async def _execute_poll(
         self,
         order: PollWorker,
         valid_until_s: float,
@@ -127,19 +127,19 @@
         if order.expires_ms is not None:
             body['expires_ms'] = order.expires_ms
         reply = await self._post(order, '/hold', body, valid_until_s)
-        answer = None
+        report = None
         if reply.outcome is OrderOutcome.done and reply.body is not None:
-            answer = make_worker_report(reply.body)
+            report = make_worker_report(reply.body)
         return WorkerPolled(
             order.worker.name,
             order.fence,
             order.sent_s,
             reply.outcome,
-            answer,
+            report,
         )
 
-    @_carry.register
-    async def _carry_start(
+    @_execute.register
+    async def _execute_start(
         self,
         order: StartRun,
         valid_until_s: float,
@@ -156,18 +156,18 @@
         if order.ticket:
             body['ticket'] = order.ticket
         reply = await self._post(order, '/run-start', body, valid_until_s)
-        answered = reply.body or {}
+        reply_body = reply.body or {}
         return StartAnswered(
             order.worker.name,
             order.task,
             order.number,
             reply.outcome,
-            answered.get('reason', ''),
-            answered.get('wall_ms', 0),
+            reply_body.get('reason', ''),
+            reply_body.get('wall_ms', 0),
         )
 
-    @_carry.register
-    async def _carry_stop(
+    @_execute.register
+    async def _execute_stop(
         self,
         order: StopRun,
         valid_until_s: float,
@@ -179,8 +179,8 @@
         }
         await self._post(order, '/run-stop', body, valid_until_s)
 
-    @_carry.register
-    async def _carry_pace(
+    @_execute.register
+    async def _execute_throttle(
         self,
         order: ThrottleRun,
         valid_until_s: float,
--- a/src/sardinemast/platform/_http_client.py
+++ b/src/sardinemast/platform/_http_client.py
@@ -1,4 +1,4 @@
-"""Exchanges with workers and services of the platform, over HTTP."""
+"""HTTP client for workers and services of the platform."""
 
 from http import HTTPStatus
 from typing import Any, NamedTuple
@@ -9,7 +9,7 @@
 from sardinemast.dispatch import OrderOutcome
 from sardinemast.membership import Announcement
 from sardinemast.platform._decoding import DECODE_ERRORS, decode
-from sardinemast.platform._worker_bodies import ListsBody
+from sardinemast.platform._worker_bodies import WorkerReportBody
 from sardinemast.routing import AttemptResult, StartAttempt
 from sardinemast.shell import (
     Header,
@@ -19,29 +19,29 @@
 )
 
 _log = Logger('workers')
-# A worker takes this many connections at once.
+# Limits the open connections to one worker.
 _CONNECTIONS_MAX = 64
-_CERTAIN = frozenset((AttemptResult.answered, AttemptResult.failed))
+_FINAL_RESULTS = frozenset((AttemptResult.answered, AttemptResult.failed))
 _JSON_HEADER = ('Content-Type', 'application/json')
 
 
 class OrderReply(NamedTuple):
-    """Hold what became of an order, and the body where there is one."""
+    """Hold the outcome of an order and the response body, if any."""
 
     outcome: OrderOutcome
-    body: ListsBody | None = None
+    body: WorkerReportBody | None = None
     is_invalid_request: bool = False
 
 
 class PlatformClient:
-    """Send requests of this process, each at most once."""
+    """Send each request at most once, over pooled connections."""
 
     def __init__(self, own_host: str) -> None:
         self.own_host = own_host
         self._client = UpstreamClient()
 
     async def run(self) -> None:
-        """Close connections that have gone stale, until cancelled."""
+        """Close idle connections until cancelled."""
         await self._client.run()
 
     async def post(
@@ -51,7 +51,7 @@
         body: dict[str, Any],
         *headers: Header,
     ) -> RawAttempt:
-        """Post a body, and give the answer or what is known."""
+        """Send a POST request and return its response or failure."""
         request = encode_request(
             'POST',
             path,
@@ -62,7 +62,7 @@
         return await self._client.exchange(start, request)
 
     async def get(self, start: StartAttempt, path: str) -> RawAttempt:
-        """Read a path, and give the answer or what is known."""
+        """Send a GET request and return its response or failure."""
         request = encode_request('GET', path, start.upstream, (), b'')
         return await self._client.exchange(start, request)
 
@@ -72,7 +72,7 @@
     timeout_s: float,
     valid_until_s: float,
 ) -> StartAttempt:
-    """Describe a request that must not be sent twice."""
+    """Return the parameters of a request that must not be repeated."""
     return StartAttempt(
         0,
         upstream,
@@ -84,25 +84,27 @@
 
 
 def classify_reply(attempt: RawAttempt) -> OrderReply:
-    """Tell what became of an order by how its request ended."""
+    """Return the outcome of an order from its HTTP attempt."""
     if attempt.attempt_result is AttemptResult.not_sent:
         return OrderReply(OrderOutcome.not_sent)
-    if attempt.response is None or attempt.attempt_result not in _CERTAIN:
+    if attempt.response is None or attempt.attempt_result not in _FINAL_RESULTS:
         return OrderReply(OrderOutcome.unknown)
-    return _read_reply(attempt.response.code, attempt.response.body)
+    return _classify_response(attempt.response.code, attempt.response.body)
 
 
-def _read_reply(code: int, body: bytes) -> OrderReply:
+def _classify_response(code: int, body: bytes) -> OrderReply:
     if code == HTTPStatus.MISDIRECTED_REQUEST:
         return OrderReply(OrderOutcome.gone)
     try:
-        found = decode(body, ListsBody) if body else None
+        report = decode(body, WorkerReportBody) if body else None
     except DECODE_ERRORS as error:
-        # Another program may answer at the address. Without its lists
-        # nothing is known of the runs, which is what unknown says.
-        _log.warning('A worker answered {} unreadably: {}.', code, error)
+        # Another program may answer at this address. An unreadable body says
+        # nothing about the runs.
+        _log.warning(
+            'The body of a {} response cannot be decoded: {}.', code, error
+        )
         return OrderReply(OrderOutcome.unknown)
     if code == HTTPStatus.OK:
-        return OrderReply(OrderOutcome.done, found)
+        return OrderReply(OrderOutcome.done, report)
     is_invalid_request = code == HTTPStatus.BAD_REQUEST
-    return OrderReply(OrderOutcome.refused, found, is_invalid_request)
+    return OrderReply(OrderOutcome.refused, report, is_invalid_request)
--- a/src/sardinemast/platform/_http_server.py
+++ b/src/sardinemast/platform/_http_server.py
@@ -1,4 +1,4 @@
-"""Small HTTP server: a function for each request, no framework above it."""
+"""Minimal HTTP server that passes each request to a handler."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,7 +21,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """Hold an answer; above 0 ``retry_after_s`` says when to come back."""
+    """Hold a response; ``retry_after_s`` of 0 sends no Retry-After."""
 
     code: int
     body: bytes = b''
@@ -29,56 +29,56 @@
     content_type: str = 'application/json'
 
 
-Handle = Callable[[HTTPServerRequest], Awaitable[HttpResponse]]
+Handler = Callable[[HTTPServerRequest], Awaitable[HttpResponse]]
 
 
 class RequestServer:
-    """Answer requests by a function, and know how many are under way."""
+    """Serve requests with a handler and track those in progress."""
 
-    def __init__(self, handle: Handle) -> None:
+    def __init__(self, handle: Handler) -> None:
         self.is_stopping = False
         self._handle = handle
         self._tasks: set[asyncio.Task[None]] = set()
         self._server = HTTPServer(
-            self._take,
+            self._start_task,
             max_body_size=_BODY_LIMIT_BYTES,
         )
 
     @property
-    def busy(self) -> int:
-        """Give how many requests have no answer yet."""
+    def open_request_count(self) -> int:
+        """Return the number of requests in progress."""
         return len(self._tasks)
 
     def listen(self, address: Address) -> None:
-        """Take connections."""
+        """Start accepting connections at an address."""
         self._server.listen(address.port, address.host)
 
     async def stop(self) -> None:
-        """Take no more connections, and close what is idle."""
+        """Stop accepting connections and close the open ones."""
         self._server.stop()
         await self._server.close_all_connections()
 
-    def _take(self, request: HTTPServerRequest) -> None:
-        task = asyncio.create_task(self._answer(request))
+    def _start_task(self, request: HTTPServerRequest) -> None:
+        task = asyncio.create_task(self._respond(request))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _answer(self, request: HTTPServerRequest) -> None:
-        reply = await self._handle(request)
+    async def _respond(self, request: HTTPServerRequest) -> None:
+        response = await self._handle(request)
         connection = request.connection
         if connection is None:
             return
-        headers = HTTPHeaders({'Content-Length': str(len(reply.body))})
-        if reply.body:
-            headers['Content-Type'] = reply.content_type
-        if reply.retry_after_s:
-            headers['Retry-After'] = str(reply.retry_after_s)
+        headers = HTTPHeaders({'Content-Length': str(len(response.body))})
+        if response.body:
+            headers['Content-Type'] = response.content_type
+        if response.retry_after_s:
+            headers['Retry-After'] = str(response.retry_after_s)
         if self.is_stopping:
             headers['Connection'] = 'close'
-        phrase = HTTPStatus(reply.code).phrase
-        start = ResponseStartLine('HTTP/1.1', reply.code, phrase)
+        phrase = HTTPStatus(response.code).phrase
+        start_line = ResponseStartLine('HTTP/1.1', response.code, phrase)
         try:
-            connection.write_headers(start, headers, reply.body)
+            connection.write_headers(start_line, headers, response.body)
             connection.finish()
         except StreamClosedError:
-            _log.debug('A caller left before its answer.')
+            _log.debug('The client closed the connection before the response.')
--- a/src/sardinemast/platform/_job_bodies.py
+++ b/src/sardinemast/platform/_job_bodies.py
@@ -1,14 +1,14 @@
-"""Bodies of the platform's calls about jobs and the configuration.
+"""JSON bodies of the platform's requests for jobs and configuration.
 
-Only this folder knows these names. A field whose name says something else
-than what it holds has a comment.
+The field names belong to the platform's protocol and are used in this package
+only.
 """
 
 from typing import TypedDict
 
 
 class CapacityBody(TypedDict, total=False):
-    """Hold an amount: thousandths of a core, MB, accelerators."""
+    """Hold resources: CPU in millicores, memory in MB, and GPUs."""
 
     cpu: int
     mem_mb: int
@@ -16,7 +16,7 @@
 
 
 class StepBody(TypedDict, total=False):
-    """Hold one step of a job; what is 0, false or empty is left out."""
+    """Hold one step of a job; zero, false and empty fields are omitted."""
 
     count: int
     cpu: int
@@ -28,7 +28,7 @@
     gang: bool
     same_rack: bool
     required_label: str
-    # The rack where the data is.
+    # Rack that holds the input data.
     affinity: str
     max_per_server: int
     speculative: bool
@@ -44,7 +44,7 @@
 
 
 class JobBody(_JobRequired, total=False):
-    """Hold a job; ``times`` is how often its steps run."""
+    """Hold a job; ``times`` is the number of its occurrences."""
 
     spec: str
     times: int
@@ -53,15 +53,15 @@
 
 
 class AdviceBody(TypedDict):
-    """Hold the times of a queue's policy."""
+    """Hold the durations of the external policy service of a queue."""
 
     decide_ms: int
-    # What each worker that is asked for adds.
+    # Additional decision time per worker in the request.
     period_ms: int
     valid_ms: int
 
 
-class _RouteRequired(TypedDict):
+class _QueueRequired(TypedDict):
     name: str
     host: str
     prefix: str
@@ -69,8 +69,8 @@
     timeout_ms: int
 
 
-class RouteBody(_RouteRequired, total=False):
-    """Hold a queue; ``slo_ms`` is added to its jobs' stretched work."""
+class QueueBody(_QueueRequired, total=False):
+    """Hold a queue; ``slo_ms`` is the fixed part of its jobs' deadline."""
 
     prio: int
     attempts: int
@@ -80,23 +80,23 @@
     advice: AdviceBody | None
 
 
-class _ServiceRequired(TypedDict):
+class _PoolRequired(TypedDict):
     name: str
 
 
-class ServiceBody(_ServiceRequired, total=False):
+class PoolBody(_PoolRequired, total=False):
     """Hold a pool of workers."""
 
     rejects_overload: bool
     standby: bool
 
 
-class _TenantRequired(TypedDict):
+class _TeamRequired(TypedDict):
     name: str
 
 
-class TenantBody(_TenantRequired, total=False):
-    """Hold a team; a part of ``cap`` that is 0 is no limit."""
+class TeamBody(_TeamRequired, total=False):
+    """Hold a team; a resource that is 0 in ``cap`` has no limit."""
 
     keys: list[str]
     prio: int
@@ -106,11 +106,11 @@
 
 class _ConfigRequired(TypedDict):
     version: int
-    routes: list[RouteBody]
-    services: list[ServiceBody]
+    routes: list[QueueBody]
+    services: list[PoolBody]
 
 
 class ConfigBody(_ConfigRequired, total=False):
     """Hold a whole configuration."""
 
-    tenants: list[TenantBody]
+    tenants: list[TeamBody]
--- a/src/sardinemast/platform/_metrics_http.py
+++ b/src/sardinemast/platform/_metrics_http.py
@@ -1,4 +1,4 @@
-"""Metrics of a process, for whoever reads them."""
+"""HTTP handler of the metrics address."""
 
 from http import HTTPStatus
 
@@ -10,14 +10,14 @@
 _PATH = '/metrics'
 
 
-class MetricsTeller:
-    """Answer readers with the metrics of this process."""
+class MetricsHandler:
+    """Serve the metrics of this process."""
 
     def __init__(self, metrics: ProcessMetrics) -> None:
         self._metrics = metrics
 
     async def handle(self, request: HTTPServerRequest) -> HttpResponse:
-        """Answer one reading."""
+        """Return the metrics, or 404 for any other path."""
         if request.path != _PATH:
             return HttpResponse(HTTPStatus.NOT_FOUND)
         body = self._metrics.render()
--- a/src/sardinemast/platform/_responses.py
+++ b/src/sardinemast/platform/_responses.py
@@ -1,4 +1,4 @@
-"""Turn the leader's answers into the platform's codes."""
+"""Translate the leader's answers to HTTP responses."""
 
 from http import HTTPStatus
 from types import MappingProxyType
@@ -6,14 +6,14 @@
 from sardinemast.platform._http_server import HttpResponse
 from sardinemast.protocol import CallAnswer, CallOutcome
 
-# A leader that is lost is replaced within about a second.
+# A lost leader is usually replaced within a second.
 _RETRY_AFTER_S = 1
-_CODES = MappingProxyType(
+_STATUS_CODES = MappingProxyType(
     {
         CallOutcome.done: HTTPStatus.OK,
-        # Callers take this to mean that nothing ran, which is true.
+        # Tells callers that nothing was executed.
         CallOutcome.refused: HTTPStatus.SERVICE_UNAVAILABLE,
-        # After this one they send the same again, at any entry.
+        # Tells callers to repeat the same request, at any entry.
         CallOutcome.uncertain: HTTPStatus.GATEWAY_TIMEOUT,
         CallOutcome.invalid: HTTPStatus.BAD_REQUEST,
         CallOutcome.unknown_queue: HTTPStatus.NOT_FOUND,
@@ -24,8 +24,8 @@
 
 
 def make_response(answer: CallAnswer, body: bytes = b'') -> HttpResponse:
-    """Give the HTTP answer."""
+    """Return the HTTP response for an answer of the leader."""
     retry_after_s = 0
     if answer.outcome in {CallOutcome.refused, CallOutcome.uncertain}:
         retry_after_s = _RETRY_AFTER_S
-    return HttpResponse(_CODES[answer.outcome], body, retry_after_s)
+    return HttpResponse(_STATUS_CODES[answer.outcome], body, retry_after_s)
--- a/src/sardinemast/platform/_run.py
+++ b/src/sardinemast/platform/_run.py
@@ -1,4 +1,4 @@
-"""Run an entry or a control process on the platform."""
+"""Run an entry or a control process for the platform."""
 
 import asyncio
 import os
@@ -13,11 +13,11 @@
 from sardinemast.dispatch import DispatchSettings
 from sardinemast.exceptions import CodedError
 from sardinemast.metrics import ProcessMetrics
-from sardinemast.platform._caller_http import Front
-from sardinemast.platform._control_http import ControlFront
+from sardinemast.platform._caller_http import CallerHandler
+from sardinemast.platform._control_http import ControlHandler
 from sardinemast.platform._gateway import PlatformGateway
 from sardinemast.platform._http_server import RequestServer
-from sardinemast.platform._metrics_http import MetricsTeller
+from sardinemast.platform._metrics_http import MetricsHandler
 from sardinemast.shell import (
     Access,
     CallRoute,
@@ -29,19 +29,19 @@
 
 _log = Logger('platform')
 _SETTINGS_VARIABLE = 'SARDINEMAST_BOOT'
-# The balancer looks once a second and goes by two misses. Whoever still comes
-# is served, and the rest of the time that a stop may take is left over.
-_LINGER_S = 2.6
+# The load balancer probes readiness once a second and stops sending requests
+# after two failures. Requests are served until then.
+_READINESS_GRACE_S = 2.6
 _DRAIN_S = 2.4
 _POLL_S = 0.05
 
 
 class Process:
-    """Hold what the roles of one process share."""
+    """Hold the state that the roles of a process share."""
 
     def __init__(self, settings: ProcessSettings) -> None:
         if settings.cluster is None:
-            raise CodedError('platform.E001', 'The settings name no cluster.')
+            raise CodedError('platform.E001', 'The settings have no cluster.')
         self.settings = settings
         self.cluster = settings.cluster
         self.identity = create_identity(settings.name)
@@ -59,7 +59,7 @@
 
 
 def main() -> None:
-    """Run the process whose settings the environment names."""
+    """Run the process with the settings file named in the environment."""
     path = Path(os.environ[_SETTINGS_VARIABLE])
     settings = load_process_file(path)
     with create_log_handler(settings.logs).applicationbound():
@@ -72,64 +72,67 @@
     loop.add_signal_handler(signal.SIGTERM, process.stopping.set)
     loop.add_signal_handler(signal.SIGINT, process.stopping.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, process, path)
-    _log.info('{} starts as {}.', settings.name, ', '.join(settings.roles))
+    _log.info(
+        'Process {} starts with roles: {}.',
+        settings.name,
+        ', '.join(settings.roles),
+    )
     runners = {'entry': _run_entry, 'control': _run_control}
-    roles = [
+    role_tasks = [
         asyncio.create_task(runners[role](process)) for role in settings.roles
     ]
-    relaying = asyncio.create_task(process.relay.run())
-    _tell_metrics(process)
-    done, _ = await asyncio.wait(
-        (*roles, relaying),
+    relay_task = asyncio.create_task(process.relay.run())
+    _serve_metrics(process)
+    finished, _ = await asyncio.wait(
+        (*role_tasks, relay_task),
         return_when=asyncio.FIRST_COMPLETED,
     )
-    for task in (*roles, relaying):
+    for task in (*role_tasks, relay_task):
         task.cancel()
-    _log.info('{} stops.', settings.name)
-    for ended in done:
-        ended.result()
+    _log.info('Process {} stops.', settings.name)
+    for finished_task in finished:
+        finished_task.result()
 
 
-def _tell_metrics(process: Process) -> None:
+def _serve_metrics(process: Process) -> None:
     address = process.settings.metrics
     if address is None:
         return
-    teller = MetricsTeller(process.metrics)
+    metrics_handler = MetricsHandler(process.metrics)
     try:
-        RequestServer(teller.handle).listen(address)
+        RequestServer(metrics_handler.handle).listen(address)
     except OSError as error:
-        # Whoever reads metrics sees that; callers must not do without the
-        # process because its port for them is taken.
-        _log.warning('No metrics at {}: {}.', address, error)
+        # A taken metrics port must not keep the process from serving callers.
+        _log.warning('Metrics cannot be served at {}: {}.', address, error)
 
 
 def _reload(process: Process, path: Path) -> None:
     try:
         settings = load_process_file(path)
     except CodedError as error:
-        _log.warning('The settings stay as they are: {}', error)
+        _log.warning('The settings were not reloaded: {}', error)
         return
     process.relay.update_founders(settings.controls)
-    _log.info('Settings read again: {} founders.', len(settings.controls))
+    _log.info('Settings reloaded: {} founders.', len(settings.controls))
 
 
 async def _run_entry(process: Process) -> None:
-    front = Front(process.relay, process.metrics)
-    server = RequestServer(front.handle)
+    caller_handler = CallerHandler(process.relay, process.metrics)
+    server = RequestServer(caller_handler.handle)
     server.listen(_get_address(process.settings.callers))
-    readiness = RequestServer(front.handle_ready)
+    readiness = RequestServer(caller_handler.handle_ready)
     readiness.listen(_get_address(process.settings.readiness))
     await process.stopping.wait()
-    front.is_stopping = True
+    caller_handler.is_stopping = True
     server.is_stopping = True
-    await asyncio.sleep(_LINGER_S)
+    await asyncio.sleep(_READINESS_GRACE_S)
     await _drain(server)
 
 
 async def _run_control(process: Process) -> None:
     address = _get_address(process.settings.operators)
-    control_front = ControlFront(process.relay, process.metrics)
-    server = RequestServer(control_front.handle)
+    control_handler = ControlHandler(process.relay, process.metrics)
+    server = RequestServer(control_handler.handle)
     server.listen(address)
     gateway = PlatformGateway(
         process.cluster.own.peer.host,
@@ -159,12 +162,14 @@
 async def _drain(server: RequestServer) -> None:
     with suppress(TimeoutError):
         async with asyncio.timeout(_DRAIN_S):
-            while server.busy:
+            while server.open_request_count:
                 await asyncio.sleep(_POLL_S)
     await server.stop()
 
 
 def _get_address(address: Address | None) -> Address:
     if address is None:
-        raise CodedError('platform.E002', 'The settings lack an address.')
+        raise CodedError(
+            'platform.E002', 'A required address is missing from the settings.'
+        )
     return address
--- a/src/sardinemast/platform/_services.py
+++ b/src/sardinemast/platform/_services.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's services for instances and for advice."""
+"""Client of the platform's instance service and policy service."""
 
 from http import HTTPStatus
 from typing import Any, TypeVar
@@ -28,22 +28,22 @@
     make_attempt,
 )
 from sardinemast.platform._translate import make_instance, make_tickets
-from sardinemast.platform._worker_bodies import GrantedBody, MachinesBody
+from sardinemast.platform._worker_bodies import GrantedBody, InstancesBody
 from sardinemast.routing import StartAttempt
 from sardinemast.shell import RawAttempt
 
 _log = Logger('services')
-# A list that goes on beyond this is not believed: several times the fleet of
-# about 1,900 that the system is meant for.
+# Rejects an endless list; several times the largest supported fleet.
 _INSTANCES_MAX = 10_000
 _LIST_PATH = '/machines'
 _Body = TypeVar('_Body')
 
 
-class ServiceOrders:
-    """Order and list instances, and ask for advice.
+class ServiceClient:
+    """Order and list instances, and request start tickets.
 
-    Orders for instances go under the name of this process as their holder.
+    Orders for instances carry this process's host as lease holder and a
+    fencing token.
     """
 
     def __init__(
@@ -56,12 +56,12 @@
         self._instances = instances
         self._advice = advice
 
-    async def send_upkeep(
+    async def send_maintenance(
         self,
         order: OrderMaintenance,
         valid_until_s: float,
     ) -> MaintenanceAnswered:
-        """Have an instance maintained."""
+        """Order the maintenance of an instance."""
         body = {'machine': order.instance, 'wave': order.wave}
         reply = await self._order_instance(
             order,
@@ -83,7 +83,7 @@
         order: OrderMove,
         valid_until_s: float,
     ) -> MoveAnswered:
-        """Have an instance change its pool."""
+        """Order the move of an instance to another pool."""
         body = {'machine': order.instance, 'pool': order.pool}
         reply = await self._order_instance(
             order,
@@ -93,12 +93,12 @@
         )
         return MoveAnswered(order.instance, order.pool, reply.outcome)
 
-    async def ask(
+    async def request_advice(
         self,
         order: RequestAdvice,
         valid_until_s: float,
     ) -> AdviceAnswered:
-        """Ask which workers may run a step."""
+        """Request tickets for the workers that may run a step."""
         unanswered = AdviceAnswered(order.step, is_answered=False)
         if self._advice is None:
             return unanswered
@@ -118,7 +118,7 @@
         order: ListInstances,
         valid_until_s: float,
     ) -> InstancesListed | None:
-        """Read the whole list of instances, or give nothing."""
+        """Return all instances, or ``None`` if the list is incomplete."""
         if self._instances is None:
             return None
         start = _make_start(self._instances, order.timeout_s, valid_until_s)
@@ -126,10 +126,10 @@
         path = _LIST_PATH
         while len(listed) < _INSTANCES_MAX:
             attempt = await self._client.get(start, path)
-            page = _read_body(attempt, MachinesBody)
+            page = _read_body(attempt, InstancesBody)
             if page is None:
                 result = attempt.attempt_result
-                _log.warning('The instances were not listed: {}.', result)
+                _log.warning('Listing instances failed: {}.', result)
                 return None
             listed.extend(map(make_instance, page.get('machines', [])))
             token = page.get('next_token') or ''
@@ -164,7 +164,7 @@
     timeout_s: float,
     valid_until_s: float,
 ) -> StartAttempt:
-    # Connections are kept by name; two services must not share one.
+    # Connections are pooled by name, so each service needs its own.
     name = f'{address.host}:{address.port}'
     service = Announcement(name, 0, '', *address, '', '')
     return make_attempt(service, timeout_s, valid_until_s)
@@ -176,5 +176,5 @@
     try:
         return decode(attempt.response.body, expected)  # type: ignore[no-any-return]
     except DECODE_ERRORS as error:
-        _log.warning('{} is unreadable: {}.', expected.__name__, error)
+        _log.warning('{} cannot be decoded: {}.', expected.__name__, error)
         return None
--- a/src/sardinemast/platform/_translate.py
+++ b/src/sardinemast/platform/_translate.py
@@ -1,4 +1,4 @@
-"""Turn the platform's bodies into the product's records, and back."""
+"""Translate the platform's JSON bodies to records."""
 
 from typing import Any
 
@@ -26,33 +26,33 @@
     CapacityBody,
     ConfigBody,
     JobBody,
-    RouteBody,
+    QueueBody,
     StepBody,
-    TenantBody,
+    TeamBody,
 )
 from sardinemast.platform._worker_bodies import (
-    BeatBody,
     EndRow,
     GrantedBody,
-    ListsBody,
-    MachineBody,
+    HeartbeatBody,
+    InstanceBody,
     RunRow,
+    WorkerReportBody,
 )
 
 _MIB_BYTES = 1024 * 1024
-_TASK_PARTS = 3
+_TASK_NUMBERS = 3
 _READY = 'ready'
 _DRAINING = 'draining'
 
 
 def make_request(body: JobBody) -> JobRequest:
-    """Give the job that a caller declares, or raise ``ValueError``."""
+    """Return the job of a caller's request, or raise ``ValueError``."""
     steps = tuple(map(_make_step, body['phases']))
     if not steps or any(step.task_count < 1 for step in steps):
-        raise ValueError('A job has steps, and each step has tasks.')
+        raise ValueError('A job needs steps, and each step needs tasks.')
     for number, step in enumerate(steps):
         if any(not 0 <= needed < number for needed in step.depends_on):
-            raise ValueError('A step depends on earlier ones.')
+            raise ValueError('A step may depend on earlier steps only.')
     return JobRequest(
         body.get('spec', ''),
         steps,
@@ -63,7 +63,7 @@
 
 
 def make_catalog(body: ConfigBody) -> Catalog:
-    """Give the catalog that an operator declares."""
+    """Return the catalog of an operator's configuration."""
     return Catalog(
         body['version'],
         tuple(map(_make_queue, body['routes'])),
@@ -79,13 +79,13 @@
     )
 
 
-def make_worker(name: str, body: BeatBody) -> Worker:
-    """Give the worker that announces itself, or raise ``ValueError``."""
+def make_worker(name: str, body: HeartbeatBody) -> Worker:
+    """Return the worker of a heartbeat, or raise ``ValueError``."""
     if body['state'] not in {_READY, _DRAINING}:
-        raise ValueError(f'No state {body["state"]!r} of a worker is known.')
+        raise ValueError(f'{body["state"]!r} is not a known worker state.')
     host, _, port = body['addr'].rpartition(':')
     if not host or not port.isdigit():
-        raise ValueError(f'{body["addr"]!r} is no address.')
+        raise ValueError(f'{body["addr"]!r} is not a valid address.')
     labels = tuple(body.get('labels', ()))
     return Worker(
         name,
@@ -101,8 +101,8 @@
     )
 
 
-def make_worker_report(body: ListsBody) -> WorkerReport:
-    """Give what a worker lists, without rows that make no sense."""
+def make_worker_report(body: WorkerReportBody) -> WorkerReport:
+    """Return a worker's report, without rows of invalid task names."""
     return WorkerReport(
         body.get('born', 0),
         body.get('wall_ms', 0),
@@ -112,12 +112,12 @@
 
 
 def make_tickets(body: GrantedBody) -> tuple[Ticket, ...]:
-    """Give the tickets of the workers that may run a step."""
+    """Return the tickets for the workers that may run a step."""
     return tuple(Ticket(*row) for row in body['granted'])
 
 
-def make_instance(body: MachineBody) -> ListedInstance:
-    """Give an instance of the platform's list."""
+def make_instance(body: InstanceBody) -> ListedInstance:
+    """Return an instance of the platform's list."""
     return ListedInstance(
         body.get('machine', ''),
         body.get('pool', ''),
@@ -126,10 +126,10 @@
     )
 
 
-def read_task(name: str) -> TaskKey | None:
-    """Read a task's dotted name, or give nothing."""
-    parts = name.rsplit('.', _TASK_PARTS)
-    if len(parts) != _TASK_PARTS + 1:
+def parse_task_key(name: str) -> TaskKey | None:
+    """Parse a task's dotted name; return ``None`` if it is invalid."""
+    parts = name.rsplit('.', _TASK_NUMBERS)
+    if len(parts) != _TASK_NUMBERS + 1:
         return None
     if not all(part.isdigit() for part in parts[1:]):
         return None
@@ -138,7 +138,7 @@
 
 def _iterate_runs(rows: list[RunRow]) -> Any:
     for row in rows:
-        task = read_task(row.task)
+        task = parse_task_key(row.task)
         if task is not None:
             yield ReportedRun(
                 task,
@@ -151,7 +151,7 @@
 
 def _iterate_ends(rows: list[EndRow]) -> Any:
     for row in rows:
-        task = read_task(row.task)
+        task = parse_task_key(row.task)
         if task is not None:
             yield ReportedEnd(row.position, task, row.run, row.how, row.saved)
 
@@ -185,7 +185,7 @@
     )
 
 
-def _make_queue(body: RouteBody) -> Queue:
+def _make_queue(body: QueueBody) -> Queue:
     return Queue(
         body['name'],
         body['host'],
@@ -207,7 +207,7 @@
     return Advice(body['decide_ms'], body['period_ms'], body['valid_ms'])
 
 
-def _make_team(body: TenantBody) -> Team:
+def _make_team(body: TeamBody) -> Team:
     return Team(
         body['name'],
         tuple(body.get('keys', ())),
--- a/src/sardinemast/platform/_worker_bodies.py
+++ b/src/sardinemast/platform/_worker_bodies.py
@@ -1,7 +1,7 @@
-"""Bodies of the platform's calls about workers and instances.
+"""JSON bodies of the platform's requests for workers and instances.
 
-Only this folder knows these names. A field whose name says something else
-than what it holds has a comment.
+The field names belong to the platform's protocol and are used in this package
+only.
 """
 
 from typing import NamedTuple, TypedDict
@@ -9,38 +9,38 @@
 from sardinemast.platform._job_bodies import CapacityBody
 
 
-class _BeatRequired(TypedDict):
+class _HeartbeatRequired(TypedDict):
     service: str
     addr: str
     state: str
     seq: int
 
 
-class BeatBody(_BeatRequired, total=False):
-    """Hold what a worker says of itself; ``labels`` are kind and rack."""
+class HeartbeatBody(_HeartbeatRequired, total=False):
+    """Hold a worker's heartbeat; ``labels`` are its kind and its rack."""
 
     zone: str
     machine: str
     capacity: CapacityBody
     labels: list[str]
-    # Unix milliseconds of the worker's start.
+    # Time of the worker's start, in Unix milliseconds.
     born: int
 
 
 class RunRow(NamedTuple):
-    """Hold a run in a worker's list."""
+    """Hold an active run of a worker."""
 
     task: str
     run: int
-    # The newest checkpoint.
+    # Latest checkpoint.
     saved: str = ''
     percent: float = 0
-    # The tail of a serving task in ms, for others the cpu in use.
+    # Tail latency in ms of a long-running task, else CPU use.
     gauge: float = 0
 
 
 class EndRow(NamedTuple):
-    """Hold an end in a worker's list."""
+    """Hold an ended run of a worker."""
 
     position: int
     task: str
@@ -49,19 +49,19 @@
     saved: str = ''
 
 
-class ListsBody(TypedDict, total=False):
-    """Hold a worker's clock, its runs and their ends."""
+class WorkerReportBody(TypedDict, total=False):
+    """Hold a worker's clock, its active runs and its ended runs."""
 
     wall_ms: int
     born: int
     running: list[RunRow]
     finished: list[EndRow]
-    # Why an order was refused.
+    # Reason for the refusal of an order.
     reason: str
 
 
 class WaveBody(TypedDict):
-    """Hold a wave of maintenance."""
+    """Hold a maintenance wave."""
 
     wave: int
     machines: list[str]
@@ -69,30 +69,30 @@
     cap: int
 
 
-class MachineBody(TypedDict, total=False):
+class InstanceBody(TypedDict, total=False):
     """Hold an instance in the platform's list."""
 
     machine: str
-    # The service whose workers run on it.
+    # Service of the workers on this instance.
     pool: str
     state: str
 
 
 class TicketRow(NamedTuple):
-    """Hold the leave for one worker, named by its id."""
+    """Hold the ticket for one worker, identified by its name."""
 
     worker: str
     ticket: str
 
 
 class GrantedBody(TypedDict):
-    """Hold the workers that may run a step."""
+    """Hold the tickets for the workers that may run a step."""
 
     granted: list[TicketRow]
 
 
-class MachinesBody(TypedDict, total=False):
+class InstancesBody(TypedDict, total=False):
     """Hold a page of the platform's list of instances."""
 
-    machines: list[MachineBody]
+    machines: list[InstanceBody]
     next_token: str | None
--- a/tests/platform/test_translate.py
+++ b/tests/platform/test_translate.py
@@ -1,4 +1,4 @@
-"""Bodies of the platform into records, also those that make no sense."""
+"""Translation of valid and invalid bodies of the platform's protocol."""
 
 from types import MappingProxyType
 
@@ -14,9 +14,9 @@
     make_request,
     make_worker,
     make_worker_report,
-    read_task,
+    parse_task_key,
 )
-from sardinemast.platform._worker_bodies import BeatBody, ListsBody
+from sardinemast.platform._worker_bodies import HeartbeatBody, WorkerReportBody
 
 _MIB = 1024 * 1024
 _ROUTE = MappingProxyType(
@@ -40,8 +40,8 @@
     return msgspec.json.encode({**config, **changes})
 
 
-def test_job_is_read_with_its_steps() -> None:
-    """Every field of a step arrives where the product keeps it."""
+def test_job_is_translated_with_its_steps() -> None:
+    """Guard against fields of a step that are lost or mixed up."""
     body = (
         b'{"spec":"x","phases":[{"count":4,"cpu":500,"mem_mb":2},'
         b'{"count":1,"deps":[0],"checkpoints":true,"gang":true,'
@@ -75,8 +75,8 @@
         b'\xff\xfe',
     ],
 )
-def test_job_that_cannot_be_read_is_refused(body: bytes) -> None:
-    """A job of which a part is missing or of another kind is not guessed."""
+def test_invalid_job_is_rejected(body: bytes) -> None:
+    """Reject a job with missing, mistyped or inconsistent fields."""
     with pytest.raises(DECODE_ERRORS):
         make_request(decode(body, JobBody))
 
@@ -98,29 +98,29 @@
         ),
     ],
 )
-def test_invalid_configuration_is_found(
+def test_invalid_configuration_is_reported(
     changes: dict[str, object],
     code: str,
 ) -> None:
-    """Each kind of mistake has its own code."""
+    """Report each kind of mistake with its own error code."""
     catalog = make_catalog(decode(_encode_config(**changes), ConfigBody))
     assert [one.code for one in check_catalog(catalog)] == [code]
 
 
-def test_configuration_that_is_cut_short_is_refused() -> None:
-    """Half a configuration, taken for whole, would drop queues and keys."""
+def test_truncated_configuration_is_rejected() -> None:
+    """Guard against the loss of queues and keys to a truncated body."""
     with pytest.raises(DECODE_ERRORS):
         decode(_encode_config()[:-20], ConfigBody)
 
 
-def test_worker_is_read_from_its_announcement() -> None:
-    """Kind and rack stand in one list, and the start in a field of its own."""
+def test_heartbeat_is_translated_to_worker() -> None:
+    """Read the rack from ``labels`` and the start time from ``born``."""
     body = (
         b'{"service":"booking","addr":"10.0.0.9:80","zone":"rennes",'
         b'"state":"draining","seq":4,"born":17,"machine":"m-1",'
         b'"labels":["a","r1-3"],"capacity":{"cpu":16000,"mem_mb":1}}'
     )
-    worker = make_worker('i-1', decode(body, BeatBody))
+    worker = make_worker('i-1', decode(body, HeartbeatBody))
     assert worker.boot_ms == 17
     assert worker.rack == 'r1-3'
     assert worker.instance == 'm-1'
@@ -138,30 +138,30 @@
         b'[]',
     ],
 )
-def test_announcement_without_sense_names_no_worker(body: bytes) -> None:
-    """Another writer's record must not bring a worker into being."""
+def test_invalid_heartbeat_is_rejected(body: bytes) -> None:
+    """Guard against workers that are created from malformed heartbeats."""
     with pytest.raises(DECODE_ERRORS):
-        make_worker('i-1', decode(body, BeatBody))
+        make_worker('i-1', decode(body, HeartbeatBody))
 
 
-def test_rows_without_sense_are_left_out_of_a_list() -> None:
-    """One odd row must not hide the runs and ends beside it."""
+def test_rows_with_invalid_task_names_are_skipped() -> None:
+    """Keep the valid rows of a report that also has invalid ones."""
     body = (
         b'{"wall_ms":9,"born":5,"running":[["odd",1],["j.0.1.2",3,"c",40,7]],'
         b'"finished":[[1,"j.0.0.x",1,"done",""],[2,"j.0.0.1",1,"done","z"]]}'
     )
-    answer = make_worker_report(decode(body, ListsBody))
-    assert answer.boot_ms == 5
-    assert answer.running == (
+    report = make_worker_report(decode(body, WorkerReportBody))
+    assert report.boot_ms == 5
+    assert report.running == (
         ReportedRun(TaskKey('j', 0, 1, 2), 3, 'c', 40, 7),
     )
-    assert answer.ended == (
+    assert report.ended == (
         ReportedEnd(2, TaskKey('j', 0, 0, 1), 1, 'done', 'z'),
     )
 
 
-def test_task_name_goes_both_ways() -> None:
-    """A job's name may hold dots; the numbers are the last three parts."""
+def test_task_name_is_parsed_back() -> None:
+    """Parse job names with dots: the last three parts are numbers."""
     task = TaskKey('a.b', 1, 2, 3)
-    assert read_task(str(task)) == task
-    assert read_task('a.b.c') is None
+    assert parse_task_key(str(task)) == task
+    assert parse_task_key('a.b.c') is None
