--- a/src/sardinemast/conf/__init__.py
+++ b/src/sardinemast/conf/__init__.py
@@ -1,4 +1,4 @@
-"""Settings in YAML: one base file, an overlay for each site, processes."""
+"""YAML settings of a fleet, with overlays per site, and of a process."""
 
 from sardinemast.conf._fleet_files import load_fleet_files
 from sardinemast.conf._process_files import (
--- a/src/sardinemast/conf/_fields.py
+++ b/src/sardinemast/conf/_fields.py
@@ -1,6 +1,6 @@
-"""Field readers: closures that turn YAML nodes into checked values.
+"""Readers that convert YAML nodes to validated values.
 
-A reader gives the value, or notes a finding with its place and gives
+A reader returns the value, or reports a finding with its position and returns
 ``INVALID``, so that one pass reports every mistake of a file.
 """
 
@@ -13,11 +13,11 @@
 from sardinemast.checks import Finding, Level
 
 INVALID: Any = object()
-_HIGHEST_PORT = 65535
+_MAX_PORT = 65535
 
 
-class Source:
-    """Hold the name of a file and what was found in it."""
+class SettingsFile:
+    """Hold the name of a settings file and its findings."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -30,7 +30,7 @@
         message: str,
         hint: str = '',
     ) -> Any:
-        """Note an error at the node, and give ``INVALID``."""
+        """Report an error at the node and return ``INVALID``."""
         line, column = 1, 1
         if node is not None:
             line = node.start_mark.line + 1
@@ -49,23 +49,23 @@
         return INVALID
 
 
-Reader = Callable[[Source, yaml.Node], Any]
+Reader = Callable[[SettingsFile, yaml.Node], Any]
 
 
 class Field(NamedTuple):
-    """Read one key of a record; without a default it must be there."""
+    """Define one key of a record; it is required without a default."""
 
     read: Reader
     default: Any = INVALID
 
 
 def text() -> Reader:
-    """Read a text that is not empty."""
+    """Return a reader of a non-empty string."""
 
-    def read(source: Source, node: yaml.Node) -> Any:
+    def read(file: SettingsFile, node: yaml.Node) -> Any:
         if isinstance(node, yaml.ScalarNode) and node.value.strip():
             return node.value
-        return source.report(node, 'conf.E003', 'A text is expected.')
+        return file.report(node, 'conf.E003', 'Expected a non-empty string.')
 
     return read
 
@@ -76,153 +76,155 @@
     *,
     is_whole: bool = False,
 ) -> Reader:
-    """Read a finite number from the minimum to the maximum."""
+    """Return a reader of a finite number within the bounds."""
 
-    def read(source: Source, node: yaml.Node) -> Any:
-        found = _parse_number(node, is_whole=is_whole)
-        if found is None:
+    def read(file: SettingsFile, node: yaml.Node) -> Any:
+        parsed = _parse_number(node, is_whole=is_whole)
+        if parsed is None:
             kind = 'whole number' if is_whole else 'number'
-            return source.report(node, 'conf.E004', f'A {kind} is expected.')
-        if found < minimum:
-            return source.report(
+            return file.report(node, 'conf.E004', f'Expected a {kind}.')
+        if parsed < minimum:
+            return file.report(
                 node,
                 'conf.E005',
-                f'{found} is below {minimum}.',
+                f'{parsed} is less than the minimum {minimum}.',
             )
-        if found > maximum:
-            return source.report(
+        if parsed > maximum:
+            return file.report(
                 node,
                 'conf.E018',
-                f'{found} is above {maximum}.',
+                f'{parsed} is greater than the maximum {maximum}.',
             )
-        return found
+        return parsed
 
     return read
 
 
 def choice(*known: str) -> Reader:
-    """Read one of the known words."""
+    """Return a reader of one of the known values."""
 
-    def read(source: Source, node: yaml.Node) -> Any:
+    def read(file: SettingsFile, node: yaml.Node) -> Any:
         if isinstance(node, yaml.ScalarNode) and node.value in known:
             return node.value
-        return source.report(
+        return file.report(
             node,
             'conf.E006',
-            f'One of {", ".join(known)} is expected.',
+            f'Expected one of: {", ".join(known)}.',
         )
 
     return read
 
 
 def list_of(read_item: Reader) -> Reader:
-    """Read a list."""
+    """Return a reader of a list."""
 
-    def read(source: Source, node: yaml.Node) -> Any:
+    def read(file: SettingsFile, node: yaml.Node) -> Any:
         if not isinstance(node, yaml.SequenceNode):
-            return source.report(node, 'conf.E007', 'A list is expected.')
-        return tuple(read_item(source, item_node) for item_node in node.value)
+            return file.report(node, 'conf.E007', 'Expected a list.')
+        return tuple(read_item(file, item_node) for item_node in node.value)
 
     return read
 
 
 def host_and_port(read_record: Reader) -> Reader:
-    """Read a record of host and port, or both in one text."""
+    """Return a reader of a host and port, as a record or one string."""
 
-    def read(source: Source, node: yaml.Node) -> Any:
+    def read(file: SettingsFile, node: yaml.Node) -> Any:
         if not isinstance(node, yaml.ScalarNode):
-            return read_record(source, node)
+            return read_record(file, node)
         host, _, port = node.value.rpartition(':')
-        if host and port.isdigit() and int(port) <= _HIGHEST_PORT:
+        if host and port.isdigit() and int(port) <= _MAX_PORT:
             return {'host': host, 'port': int(port)}
-        return source.report(
+        return file.report(
             node,
             'conf.E022',
-            f'{node.value!r} is no address.',
-            'Write host:port.',
+            f'{node.value!r} is not a valid address.',
+            'Use host:port.',
         )
 
     return read
 
 
 def mapping_of(read_value: Reader) -> Reader:
-    """Read a map from names to values of one kind."""
+    """Return a reader of a map from names to values of one type."""
 
-    def read(source: Source, node: yaml.Node) -> Any:
+    def read(file: SettingsFile, node: yaml.Node) -> Any:
         if not isinstance(node, yaml.MappingNode):
-            return source.report(node, 'conf.E008', 'A map is expected.')
-        found: dict[str, Any] = {}
+            return file.report(node, 'conf.E008', 'Expected a map.')
+        parsed: dict[str, Any] = {}
         for key_node, value_node in node.value:
-            if key_node.value in found:
-                _report_double(source, key_node)
-            found[key_node.value] = read_value(source, value_node)
-        return found
+            if key_node.value in parsed:
+                _report_duplicate(file, key_node)
+            parsed[key_node.value] = read_value(file, value_node)
+        return parsed
 
     return read
 
 
 def record(fields: Mapping[str, Field]) -> Reader:
-    """Read a map of known keys; what is left out gets its default."""
+    """Return a reader of a map of known keys that fills in defaults."""
 
-    def read(source: Source, node: yaml.Node) -> Any:
+    def read(file: SettingsFile, node: yaml.Node) -> Any:
         if not isinstance(node, yaml.MappingNode):
-            return source.report(node, 'conf.E008', 'A map is expected.')
-        found = _read_known(source, node, fields)
+            return file.report(node, 'conf.E008', 'Expected a map.')
+        parsed = _read_known(file, node, fields)
         for name, field in fields.items():
-            if name not in found:
-                found[name] = field.default
+            if name not in parsed:
+                parsed[name] = field.default
                 if field.default is INVALID:
-                    source.report(node, 'conf.E009', f'{name!r} is missing.')
-        return found
+                    file.report(
+                        node, 'conf.E009', f'Required key {name!r} is missing.'
+                    )
+        return parsed
 
     return read
 
 
 def partial_record(fields: Mapping[str, Field]) -> Reader:
-    """Read a map of known keys, and give only those that are there."""
+    """Return a reader of a map of known keys, without defaults."""
 
-    def read(source: Source, node: yaml.Node) -> Any:
+    def read(file: SettingsFile, node: yaml.Node) -> Any:
         if not isinstance(node, yaml.MappingNode):
-            return source.report(node, 'conf.E008', 'A map is expected.')
-        return _read_known(source, node, fields)
+            return file.report(node, 'conf.E008', 'Expected a map.')
+        return _read_known(file, node, fields)
 
     return read
 
 
 def get_defaults(fields: Mapping[str, Field]) -> dict[str, Any]:
-    """Give what a record has where nothing of it is set."""
+    """Return the defaults of all fields of a record."""
     return {name: field.default for name, field in fields.items()}
 
 
 def _read_known(
-    source: Source,
+    file: SettingsFile,
     node: yaml.MappingNode,
     fields: Mapping[str, Field],
 ) -> dict[str, Any]:
-    found: dict[str, Any] = {}
+    parsed: dict[str, Any] = {}
     for key_node, value_node in node.value:
         name = key_node.value
         field = fields.get(name)
-        if name in found:
-            _report_double(source, key_node)
+        if name in parsed:
+            _report_duplicate(file, key_node)
         elif field:
-            found[name] = field.read(source, value_node)
+            parsed[name] = field.read(file, value_node)
         else:
-            source.report(
+            file.report(
                 key_node,
                 'conf.E010',
-                f'{name!r} is no setting.',
-                f'Known are {", ".join(sorted(fields))}.',
+                f'Unknown setting {name!r}.',
+                f'Known settings: {", ".join(sorted(fields))}.',
             )
-    return found
+    return parsed
 
 
-def _report_double(source: Source, key_node: yaml.Node) -> None:
-    source.report(
+def _report_duplicate(file: SettingsFile, key_node: yaml.Node) -> None:
+    file.report(
         key_node,
         'conf.E011',
-        f'{key_node.value!r} stands twice.',
-        'Keep one.',
+        f'Duplicate key {key_node.value!r}.',
+        'Remove all but one.',
     )
 
 
@@ -230,7 +232,7 @@
     if not isinstance(node, yaml.ScalarNode):
         return None
     try:
-        found = int(node.value) if is_whole else float(node.value)
+        parsed = int(node.value) if is_whole else float(node.value)
     except ValueError:
         return None
-    return found if math.isfinite(found) else None
+    return parsed if math.isfinite(parsed) else None
--- a/src/sardinemast/conf/_fleet_files.py
+++ b/src/sardinemast/conf/_fleet_files.py
@@ -1,4 +1,4 @@
-"""Base file and overlays, merged into one checked document."""
+"""Merge a base file and its overlays into a validated document."""
 
 from collections.abc import Mapping, Sequence
 from pathlib import Path
@@ -17,13 +17,13 @@
 from sardinemast.conf._files import read_file
 from sardinemast.fleet import FleetDocument, Pool, Site, Team
 
-_SHORTEST_S = 0.001
-_SMALLEST_SHARE = 0.001
+_MIN_DURATION_S = 0.001
+_MIN_SHARE = 0.001
 _POOL_DEFAULTS = Pool('')
 _SITE_FIELDS = MappingProxyType({'region': Field(text())})
 _TEAM_FIELDS = MappingProxyType(
     {
-        'share': Field(number(_SMALLEST_SHARE), 1.0),
+        'share': Field(number(_MIN_SHARE), 1.0),
         'limit': Field(number(0, is_whole=True)),
     }
 )
@@ -33,8 +33,10 @@
         'connections': Field(
             number(1, is_whole=True), _POOL_DEFAULTS.connections
         ),
-        'run_bound_s': Field(number(_SHORTEST_S), _POOL_DEFAULTS.run_bound_s),
-        'deadline_s': Field(number(_SHORTEST_S), _POOL_DEFAULTS.deadline_s),
+        'run_bound_s': Field(
+            number(_MIN_DURATION_S), _POOL_DEFAULTS.run_bound_s
+        ),
+        'deadline_s': Field(number(_MIN_DURATION_S), _POOL_DEFAULTS.deadline_s),
         'body_limit_bytes': Field(
             number(0, is_whole=True), _POOL_DEFAULTS.body_limit_bytes
         ),
@@ -57,13 +59,13 @@
 
 
 def load_fleet_files(base: Path, overlays: Sequence[Path]) -> FleetDocument:
-    """Merge the files, or raise ``CheckError`` with all findings."""
-    declared, source = read_file(base, _BASE)
-    findings = list(source.findings)
+    """Return the merged files, or raise ``CheckError`` with all findings."""
+    declared, base_file = read_file(base, _BASE)
+    findings = list(base_file.findings)
     read_overlays = []
     for path in overlays:
-        overlay, overlay_source = read_file(path, _OVERLAY)
-        findings.extend(overlay_source.findings)
+        overlay, overlay_file = read_file(path, _OVERLAY)
+        findings.extend(overlay_file.findings)
         read_overlays.append((str(path), overlay))
     if not findings:
         findings.extend(_check_overlays(declared, read_overlays))
@@ -81,21 +83,29 @@
     for name, overlay in overlays:
         site = overlay['site']
         if site not in declared['sites']:
-            findings.append(_find(name, 'conf.E014', f'No site {site!r}.'))
+            findings.append(
+                _make_finding(name, 'conf.E014', f'Unknown site {site!r}.')
+            )
         if site in seen:
             findings.append(
-                _find(name, 'conf.E015', f'Site {site!r} has two overlays.'),
+                _make_finding(
+                    name,
+                    'conf.E015',
+                    f'Site {site!r} has more than one overlay.',
+                ),
             )
         seen.add(site)
         findings.extend(
-            _find(name, 'conf.E016', f'No pool {pool!r} in the base file.')
+            _make_finding(
+                name, 'conf.E016', f'Pool {pool!r} is not in the base file.'
+            )
             for pool in overlay['pools']
             if pool not in declared['pools']
         )
     return findings
 
 
-def _find(name: str, check_id: str, message: str) -> Finding:
+def _make_finding(name: str, check_id: str, message: str) -> Finding:
     return Finding(check_id, Level.error, message, '', name, 1, 1)
 
 
--- a/src/sardinemast/conf/_process_files.py
+++ b/src/sardinemast/conf/_process_files.py
@@ -1,4 +1,4 @@
-"""Settings of one process."""
+"""Settings of a process."""
 
 from ipaddress import ip_address
 from pathlib import Path
@@ -8,7 +8,7 @@
 from sardinemast.checks import CheckError
 from sardinemast.conf._fields import (
     Field,
-    Source,
+    SettingsFile,
     choice,
     get_defaults,
     host_and_port,
@@ -20,19 +20,19 @@
 from sardinemast.conf._files import read_file
 from sardinemast.dispatch import PoolPolicy
 
-_HIGHEST_PORT = 65535
-_port = number(0, _HIGHEST_PORT, is_whole=True)
+_MAX_PORT = 65535
+_port = number(0, _MAX_PORT, is_whole=True)
 
 
 class Address(NamedTuple):
-    """Name an IP address and a port."""
+    """Hold a host and a port."""
 
     host: str
     port: int
 
 
 class ControlAddress(NamedTuple):
-    """Name a control process and where it listens."""
+    """Hold the name of a control process and its addresses."""
 
     name: str
     peer: Address
@@ -40,7 +40,7 @@
 
 
 class LogSettings(NamedTuple):
-    """Say where logs go; without a file they go to stderr."""
+    """Configure logs; without a file, text goes to stderr, JSON to stdout."""
 
     level: str
     format: str
@@ -50,7 +50,7 @@
 
 
 class Security(NamedTuple):
-    """Name the PEM files by which processes and operators know each other."""
+    """Hold the PEM files for mutual TLS of processes and operators."""
 
     authority: Path
     certificate: Path
@@ -58,13 +58,13 @@
 
 
 class Cluster(NamedTuple):
-    """Say how control processes find each other without a list of all.
+    """Configure how a control process bootstraps or joins a cluster.
 
-    The founders begin the cluster; others ask them to be taken in. So many
-    replicas may be lost at once as ``failures_tolerated`` says. Without
-    ``may_found`` an empty folder only joins. Others dial ``own``. Where
-    addresses are translated between, it listens at ``bind_host`` and dials
-    from there.
+    The founders bootstrap the cluster; other processes ask them to join.
+    ``failures_tolerated`` is the number of replicas that may be lost at once.
+    Without ``may_found``, a process with an empty data folder may only join.
+    Others connect to ``own``. With network address translation, the process
+    listens at ``bind_host`` and connects from there.
     """
 
     own: ControlAddress
@@ -74,20 +74,20 @@
 
     @property
     def listen_address(self) -> ControlAddress:
-        """Give where this process itself listens."""
+        """Return the local addresses that this process listens at."""
         if not self.bind_host:
             return self.own
         return get_control_address(self.bind_host, self.own.peer.port)
 
 
 class ProcessSettings(NamedTuple):
-    """Hold everything a process is told when it starts.
+    """Hold the settings of a process.
 
-    With a ``cluster`` the ``controls`` are its founders. A balancer looks at
-    ``readiness``, and ``operators`` is where the platform's own calls come.
-    Whoever runs the instances is asked at ``instances``, the outside policy
-    of queues that have one at ``advice``. ``metrics`` is where this process
-    tells its own. A leader sizes pools by ``pool_sizes``.
+    With a ``cluster``, ``controls`` are its founders. The process listens at
+    ``readiness`` for the load balancer's probes, at ``operators`` for
+    requests of the platform and at ``metrics`` for scrapes. It connects to
+    the instance service at ``instances`` and to the external policy service
+    at ``advice``. A leader sizes pools by ``pool_sizes``.
     """
 
     name: str
@@ -108,7 +108,7 @@
 
 
 _ADDRESS = record({'host': Field(text(), '127.0.0.1'), 'port': Field(_port)})
-_PLACE = host_and_port(_ADDRESS)
+_HOST_AND_PORT = host_and_port(_ADDRESS)
 _CONTROL = record(
     {
         'name': Field(text()),
@@ -140,7 +140,7 @@
     {
         'host': Field(text()),
         'bind_host': Field(text(), ''),
-        'port': Field(number(1, _HIGHEST_PORT - 1, is_whole=True)),
+        'port': Field(number(1, _MAX_PORT - 1, is_whole=True)),
         'founders': Field(list_of(text())),
         'failures_tolerated': Field(number(0, is_whole=True), 1),
         'may_found': Field(choice('true', 'false'), 'true'),
@@ -159,13 +159,13 @@
         'data_centre': Field(text()),
         'data_folder': Field(text(), 'var'),
         'callers': Field(
-            _PLACE, MappingProxyType({'host': '127.0.0.1', 'port': 0})
+            _HOST_AND_PORT, MappingProxyType({'host': '127.0.0.1', 'port': 0})
         ),
-        'readiness': Field(_PLACE, None),
-        'operators': Field(_PLACE, None),
-        'instances': Field(_PLACE, None),
-        'advice': Field(_PLACE, None),
-        'metrics': Field(_PLACE, None),
+        'readiness': Field(_HOST_AND_PORT, None),
+        'operators': Field(_HOST_AND_PORT, None),
+        'instances': Field(_HOST_AND_PORT, None),
+        'advice': Field(_HOST_AND_PORT, None),
+        'metrics': Field(_HOST_AND_PORT, None),
         'controls': Field(list_of(_CONTROL), ()),
         'cluster': Field(_CLUSTER, None),
         'network': Field(choice('open', 'private'), 'open'),
@@ -181,58 +181,58 @@
 
 def load_process_file(path: Path) -> ProcessSettings:
     """Read the settings, or raise ``CheckError`` with all findings."""
-    found, source = read_file(path, _PROCESS)
-    if not source.findings:
-        _check_controls(source, found)
-    if source.findings:
-        raise CheckError(source.findings)
-    return _build(found)
+    parsed, file = read_file(path, _PROCESS)
+    if not file.findings:
+        _check_controls(file, parsed)
+    if file.findings:
+        raise CheckError(file.findings)
+    return _build(parsed)
 
 
-def _check_controls(source: Source, found: Any) -> None:
-    if found['cluster'] is not None:
-        _check_cluster(source, found)
+def _check_controls(file: SettingsFile, parsed: Any) -> None:
+    if parsed['cluster'] is not None:
+        _check_cluster(file, parsed)
         return
-    names = [control['name'] for control in found['controls']]
-    if 'control' in found['roles'] and found['name'] not in names:
-        source.report(
+    names = [control['name'] for control in parsed['controls']]
+    if 'control' in parsed['roles'] and parsed['name'] not in names:
+        file.report(
             None,
             'conf.E017',
-            f'{found["name"]!r} has role control and no address.',
-            'List it under controls.',
+            f'{parsed["name"]!r} has the role control but no address.',
+            'Add it to controls.',
         )
-    # Two replicas of one name would count as one voter here and as two
-    # there, and two majorities could form.
+    # Two replicas of one name could be counted as one voter or as two, which
+    # would allow two majorities.
     if len(set(names)) < len(names):
-        source.report(None, 'conf.E019', 'Two controls have the same name.')
+        file.report(None, 'conf.E019', 'The names of controls are not unique.')
     if not names:
-        source.report(None, 'conf.E020', 'No control process is listed.')
-    if found['security'] is None:
-        _check_loopback(source, found)
+        file.report(None, 'conf.E020', 'controls is empty.')
+    if parsed['security'] is None:
+        _check_loopback(file, parsed)
 
 
-def _check_cluster(source: Source, found: Any) -> None:
-    if not found['cluster']['founders']:
-        source.report(None, 'conf.E020', 'No founder is listed.')
-    if found['network'] != 'private' and found['security'] is None:
-        source.report(
+def _check_cluster(file: SettingsFile, parsed: Any) -> None:
+    if not parsed['cluster']['founders']:
+        file.report(None, 'conf.E020', 'founders is empty.')
+    if parsed['network'] != 'private' and parsed['security'] is None:
+        file.report(
             None,
             'conf.E021',
-            'A cluster is reached from other machines.',
-            'Set security, or network: private where nobody else gets in.',
+            'A cluster is reachable from other instances.',
+            'Set security, or network: private if access is restricted.',
         )
 
 
-def _check_loopback(source: Source, found: Any) -> None:
-    # Without credentials anybody who reaches the port could command the
-    # fleet, so that is left open on the own machine only.
-    for control in found['controls']:
+def _check_loopback(file: SettingsFile, parsed: Any) -> None:
+    # Without credentials, anybody who can connect to the port can command the
+    # fleet, so only loopback addresses may be used.
+    for control in parsed['controls']:
         hosts = {control['peer']['host'], control['operator']['host']}
         if not all(map(_is_loopback, hosts)):
-            source.report(
+            file.report(
                 None,
                 'conf.E021',
-                f'{control["name"]!r} is reached from other machines.',
+                f'{control["name"]!r} is reachable from other instances.',
                 'Set security, or use a loopback address.',
             )
 
@@ -244,72 +244,72 @@
         return host == 'localhost'
 
 
-def _build(found: Any) -> ProcessSettings:
+def _build(parsed: Any) -> ProcessSettings:
     return ProcessSettings(
-        name=found['name'],
-        roles=found['roles'],
-        data_centre=found['data_centre'],
-        data_folder=Path(found['data_folder']),
-        callers=Address(**found['callers']),
-        controls=_build_controls(found),
-        logs=LogSettings(**found['logs']),
-        security=_build_security(found['security']),
-        cluster=_build_cluster(found['cluster']),
-        readiness=_build_address(found['readiness']),
-        operators=_build_address(found['operators']),
-        instances=_build_address(found['instances']),
-        advice=_build_address(found['advice']),
-        metrics=_build_address(found['metrics']),
-        pool_sizes=PoolPolicy(**found['pool_sizes']),
+        name=parsed['name'],
+        roles=parsed['roles'],
+        data_centre=parsed['data_centre'],
+        data_folder=Path(parsed['data_folder']),
+        callers=Address(**parsed['callers']),
+        controls=_build_controls(parsed),
+        logs=LogSettings(**parsed['logs']),
+        security=_build_security(parsed['security']),
+        cluster=_build_cluster(parsed['cluster']),
+        readiness=_build_address(parsed['readiness']),
+        operators=_build_address(parsed['operators']),
+        instances=_build_address(parsed['instances']),
+        advice=_build_address(parsed['advice']),
+        metrics=_build_address(parsed['metrics']),
+        pool_sizes=PoolPolicy(**parsed['pool_sizes']),
     )
 
 
-def _build_controls(found: Any) -> tuple[ControlAddress, ...]:
-    cluster = found['cluster']
+def _build_controls(parsed: Any) -> tuple[ControlAddress, ...]:
+    cluster = parsed['cluster']
     if cluster is None:
-        return tuple(_build_control(one) for one in found['controls'])
-    hosts = sorted({_cut_port(founder) for founder in cluster['founders']})
+        return tuple(_build_control(one) for one in parsed['controls'])
+    hosts = sorted({_strip_port(founder) for founder in cluster['founders']})
     return tuple(get_control_address(host, cluster['port']) for host in hosts)
 
 
-def _build_cluster(found: Any) -> Cluster | None:
-    if found is None:
+def _build_cluster(parsed: Any) -> Cluster | None:
+    if parsed is None:
         return None
     return Cluster(
-        get_control_address(found['host'], found['port']),
-        found['failures_tolerated'],
-        found['may_found'] == 'true',
-        found['bind_host'],
+        get_control_address(parsed['host'], parsed['port']),
+        parsed['failures_tolerated'],
+        parsed['may_found'] == 'true',
+        parsed['bind_host'],
     )
 
 
-def _build_address(found: Any) -> Address | None:
-    return None if found is None else Address(**found)
+def _build_address(parsed: Any) -> Address | None:
+    return None if parsed is None else Address(**parsed)
 
 
-def _cut_port(founder: str) -> str:
-    # A founder may be given as the address of another of its services; all
-    # control processes of a cluster listen at the cluster's own port.
+def _strip_port(founder: str) -> str:
+    # A founder may be listed with the port of another service; all control
+    # processes of a cluster listen at the cluster's port.
     return founder.partition(':')[0]
 
 
 def get_control_address(host: str, port: int) -> ControlAddress:
-    """Give where a control process of a cluster listens, by its host.
+    """Return the addresses of a control process in a cluster.
 
-    Operators reach it at the next port.
+    Peers connect to ``port`` and operators to the next port.
     """
     return ControlAddress(host, Address(host, port), Address(host, port + 1))
 
 
-def _build_security(found: Any) -> Security | None:
-    if found is None:
+def _build_security(parsed: Any) -> Security | None:
+    if parsed is None:
         return None
-    return Security(**{name: Path(path) for name, path in found.items()})
+    return Security(**{name: Path(path) for name, path in parsed.items()})
 
 
-def _build_control(found: Any) -> ControlAddress:
+def _build_control(parsed: Any) -> ControlAddress:
     return ControlAddress(
-        found['name'],
-        Address(**found['peer']),
-        Address(**found['operator']),
+        parsed['name'],
+        Address(**parsed['peer']),
+        Address(**parsed['operator']),
     )
--- a/tests/conf/test_fleet_files.py
+++ b/tests/conf/test_fleet_files.py
@@ -1,4 +1,4 @@
-"""Mistakes in settings files."""
+"""Validation and merging of fleet files."""
 
 from pathlib import Path
 
@@ -16,8 +16,8 @@
 """
 
 
-def test_all_mistakes_come_at_once(tmp_path: Path) -> None:
-    """Each mistake is reported with its line and column."""
+def test_all_mistakes_are_reported_at_once(tmp_path: Path) -> None:
+    """Report each mistake with its line and column."""
     base = tmp_path / 'base.yaml'
     base.write_text(_MISTAKES)
     with pytest.raises(CheckError) as caught:
@@ -33,7 +33,7 @@
 
 
 def test_overlay_changes_its_site_only(tmp_path: Path) -> None:
-    """An overlay's field replaces the base file's at that site."""
+    """Guard against an overlay that changes pools of other sites."""
     base = tmp_path / 'base.yaml'
     base.write_text(
         'sites: {rennes: {region: b}, brest: {region: b}}\n'
--- a/tests/conf/test_fuzz.py
+++ b/tests/conf/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Settings files of any content."""
+"""Settings files with arbitrary content."""
 
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -36,12 +36,12 @@
 
 
 @given(st.binary(max_size=200))
-def test_noise_gives_findings(content: bytes) -> None:
-    """Bytes of any kind give findings with their place, and no crash."""
+def test_arbitrary_bytes_give_findings(content: bytes) -> None:
+    """Guard against crashes on files that are not YAML."""
     _load_both(content)
 
 
 @given(_TREES)
-def test_any_yaml_gives_findings(tree: object) -> None:
-    """YAML of any shape gives findings with their place, and no crash."""
+def test_arbitrary_yaml_gives_findings(tree: object) -> None:
+    """Guard against crashes on YAML of an unexpected structure."""
     _load_both(yaml.safe_dump(tree).encode())
--- a/tests/conf/test_process_files.py
+++ b/tests/conf/test_process_files.py
@@ -1,4 +1,4 @@
-"""Settings of one process that size pools."""
+"""Pool sizes in the settings of a process."""
 
 from pathlib import Path
 
@@ -25,20 +25,20 @@
     return path
 
 
-def test_pools_are_sized_by_default_without_settings(tmp_path: Path) -> None:
-    """A file of an earlier version still loads."""
+def test_omitted_pool_sizes_have_defaults(tmp_path: Path) -> None:
+    """Load files from versions without ``pool_sizes``."""
     settings = load_process_file(_write(tmp_path, ''))
     assert settings.pool_sizes == PoolPolicy()
 
 
-def test_one_setting_changes_and_the_others_stay(tmp_path: Path) -> None:
-    """An operator keeps all workers on until a pool's first peak."""
+def test_omitted_settings_keep_their_defaults(tmp_path: Path) -> None:
+    """Change one setting without resetting the others."""
     path = _write(tmp_path, 'pool_sizes: {opening_share: 1}\n')
     assert load_process_file(path).pool_sizes == PoolPolicy(opening_share=1)
 
 
 def test_all_mistakes_are_reported_together(tmp_path: Path) -> None:
-    """A negative number, a text and a name that does not exist."""
+    """Report a negative number, a string and an unknown name at once."""
     mistakes = '{idle_s: -1, calm_spare: some, unknown: 1}'
     path = _write(tmp_path, f'pool_sizes: {mistakes}\n')
     with pytest.raises(CheckError) as raised:
