--- a/src/sardinemast/metrics/__init__.py
+++ b/src/sardinemast/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Latencies as histograms that can be merged over entries."""
+"""Metrics of processes, and mergeable latency histograms of entries."""
 
 from sardinemast.metrics._exposition import render_metrics
 from sardinemast.metrics._latencies import (
--- a/src/sardinemast/metrics/_exposition.py
+++ b/src/sardinemast/metrics/_exposition.py
@@ -1,4 +1,4 @@
-"""Metrics in the usual text format."""
+"""Metrics of an entry in the Prometheus text format."""
 
 from collections.abc import Iterator, Mapping
 
@@ -14,24 +14,24 @@
 from sardinemast.metrics._latencies import Dimension, LatencyHistograms
 
 _US_PER_S = 1_000_000
-_BOUNDS_S = (0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10, 30, 100)
+_BUCKET_BOUNDS_S = (0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10, 30, 100)
 
 Family = CounterMetricFamily | GaugeMetricFamily | HistogramMetricFamily
 
 
-class _Metrics(Collector):
+class _EntryCollector(Collector):
     def __init__(
         self,
-        book: LatencyHistograms,
+        histograms: LatencyHistograms,
         counts: Mapping[str, int],
         gauges: Mapping[str, float],
     ) -> None:
-        self._book = book
+        self._histograms = histograms
         self._counts = counts
         self._gauges = gauges
 
     def collect(self) -> Iterator[Family]:
-        """Give all families of metrics."""
+        """Yield all metric families."""
         for name, gauge in self._gauges.items():
             yield GaugeMetricFamily(
                 f'sardinemast_{name}',
@@ -58,23 +58,25 @@
             f'Time from arrival to answer by {dimension}.',
             labels=[str(dimension)],
         )
-        for name, histogram in self._book.get_histograms(dimension).items():
+        for name, histogram in self._histograms.get_histograms(
+            dimension
+        ).items():
             fill_histogram(family, name, histogram)
         return family
 
 
 def render_metrics(
-    book: LatencyHistograms,
+    histograms: LatencyHistograms,
     counts: Mapping[str, int],
     gauges: Mapping[str, float],
 ) -> bytes:
-    """Give the metrics of one process as text.
+    """Return the metrics of an entry in the Prometheus text format.
 
-    ``counts`` holds final answers by code, ``gauges`` current figures by
-    name with their unit.
+    ``counts`` holds the final answers by code, ``gauges`` the current values
+    by metric name.
     """
     registry = CollectorRegistry()
-    registry.register(_Metrics(book, counts, gauges))
+    registry.register(_EntryCollector(histograms, counts, gauges))
     return generate_latest(registry)
 
 
@@ -83,7 +85,7 @@
     label: str,
     histogram: HdrHistogram,
 ) -> None:
-    """Put a histogram of latencies into a family, under a label."""
+    """Add a latency histogram to a metric family, with its label."""
     family.add_metric(
         [label],
         _get_buckets(histogram),
@@ -95,7 +97,7 @@
     total = histogram.get_total_count()
     bounded = [
         (str(bound_s), _count_up_to(histogram, bound_s))
-        for bound_s in _BOUNDS_S
+        for bound_s in _BUCKET_BOUNDS_S
     ]
     return [*bounded, ('+Inf', total)]
 
--- a/src/sardinemast/metrics/_latencies.py
+++ b/src/sardinemast/metrics/_latencies.py
@@ -6,23 +6,23 @@
 
 from hdrh.histogram import HdrHistogram
 
-OTHER = 'other'
-MAX_NAMES = 512
+OTHER_NAME = 'other'
+MAX_NAMES_PER_DIMENSION = 512
 _US_PER_S = 1_000_000
-_LOWEST_US = 100
-_LONGEST_S = 600
-_HIGHEST_US = _LONGEST_S * _US_PER_S
-_DIGITS = 2
+_MIN_LATENCY_US = 100
+_MAX_LATENCY_S = 600
+_MAX_LATENCY_US = _MAX_LATENCY_S * _US_PER_S
+_SIGNIFICANT_DIGITS = 2
 _MEDIAN = 50
 _P99 = 99
-_WORST = 100
+_MAX_PERCENTILE = 100
 
 _Key = tuple[str, str]
 EncodedLatencies = Mapping[str, Mapping[str, str]]
 
 
 class Dimension(StrEnum):
-    """Say by what latencies are told apart."""
+    """Name the dimensions by which latencies are recorded."""
 
     team = 'team'
     service = 'service'
@@ -30,7 +30,7 @@
 
 
 class LatencySummary(NamedTuple):
-    """Give the figures of one merged histogram."""
+    """Summarize the merged histogram of one name in a dimension."""
 
     dimension: str
     name: str
@@ -41,11 +41,10 @@
 
 
 class LatencyHistograms:
-    """Count latencies of one entry since its start.
+    """Record the latencies of an entry since its start.
 
-    At most ``MAX_NAMES`` names are told apart for each dimension and the
-    rest are counted together. A caller cannot invent names, but an operator's
-    long list must not push an entry over its memory.
+    In each dimension, names beyond ``MAX_NAMES_PER_DIMENSION`` share one
+    histogram, which bounds the memory that a large configuration takes.
     """
 
     def __init__(self) -> None:
@@ -58,16 +57,16 @@
         names: Mapping[Dimension, str],
         elapsed_s: float,
     ) -> None:
-        """Count one answered request under its names."""
+        """Record the latency of a request, by its name in each dimension."""
         for dimension, name in names.items():
-            record_s(self._get_histogram(dimension, name), elapsed_s)
+            record_latency(self._get_histogram(dimension, name), elapsed_s)
 
     def get_histograms(self, dimension: Dimension) -> dict[str, HdrHistogram]:
-        """Give the histograms of a dimension by name."""
+        """Return the histograms of a dimension by name."""
         return dict(self._histograms[dimension])
 
     def encode(self) -> dict[str, dict[str, str]]:
-        """Give all histograms in the library's own compact text."""
+        """Return all histograms in the text encoding of HdrHistogram."""
         return {
             str(dimension): {
                 name: histogram.encode().decode()
@@ -78,52 +77,53 @@
 
     def _get_histogram(self, dimension: Dimension, name: str) -> HdrHistogram:
         by_name = self._histograms[dimension]
-        known = by_name.get(name)
-        if known is not None:
-            return known
-        if len(by_name) >= MAX_NAMES:
-            name = OTHER
-        # Making a histogram costs more than a request, so that none is made
-        # where one is known.
+        existing = by_name.get(name)
+        if existing is not None:
+            return existing
+        if len(by_name) >= MAX_NAMES_PER_DIMENSION:
+            name = OTHER_NAME
+        # Creating a histogram is costly, so existing ones are reused.
         if name not in by_name:
             by_name[name] = create_histogram()
         return by_name[name]
 
 
 def merge_latencies(
-    books: Iterable[EncodedLatencies],
+    entries_latencies: Iterable[EncodedLatencies],
 ) -> list[LatencySummary]:
     """Merge the histograms of several entries and summarize each.
 
-    The counts are added and the percentiles taken from the sum; an average
-    of percentiles would hide the entry that is slow.
+    Percentiles are computed from the merged counts: an average of percentiles
+    would hide a slow entry.
     """
     merged: dict[_Key, HdrHistogram] = {}
-    for place, encoded in _iterate(books):
-        if place not in merged:
-            merged[place] = create_histogram()
-        merged[place].decode_and_add(encoded)
+    for histogram_key, encoded in _iterate_encoded(entries_latencies):
+        if histogram_key not in merged:
+            merged[histogram_key] = create_histogram()
+        merged[histogram_key].decode_and_add(encoded)
     return [_summarize(key, merged[key]) for key in sorted(merged)]
 
 
-def _iterate(
-    books: Iterable[EncodedLatencies],
+def _iterate_encoded(
+    entries_latencies: Iterable[EncodedLatencies],
 ) -> Iterator[tuple[_Key, str]]:
-    for book in books:
-        for dimension, by_name in book.items():
+    for histograms_by_dimension in entries_latencies:
+        for dimension, by_name in histograms_by_dimension.items():
             for name, encoded in by_name.items():
                 yield (dimension, name), encoded
 
 
-def record_s(histogram: HdrHistogram, elapsed_s: float) -> None:
-    """Count a latency, bounded to what the histogram holds."""
+def record_latency(histogram: HdrHistogram, elapsed_s: float) -> None:
+    """Record a latency, clamped to the range of the histogram."""
     elapsed_us = int(elapsed_s * _US_PER_S)
-    histogram.record_value(min(max(elapsed_us, _LOWEST_US), _HIGHEST_US))
+    histogram.record_value(
+        min(max(elapsed_us, _MIN_LATENCY_US), _MAX_LATENCY_US)
+    )
 
 
 def create_histogram() -> HdrHistogram:
-    """Make a histogram of latencies."""
-    return HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+    """Create an empty latency histogram."""
+    return HdrHistogram(_MIN_LATENCY_US, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
 
 
 def _summarize(
@@ -135,5 +135,5 @@
         histogram.get_total_count(),
         histogram.get_value_at_percentile(_MEDIAN) / _US_PER_S,
         histogram.get_value_at_percentile(_P99) / _US_PER_S,
-        histogram.get_value_at_percentile(_WORST) / _US_PER_S,
+        histogram.get_value_at_percentile(_MAX_PERCENTILE) / _US_PER_S,
     )
--- a/src/sardinemast/metrics/_process.py
+++ b/src/sardinemast/metrics/_process.py
@@ -1,4 +1,4 @@
-"""Counters and latencies of one process, for its metrics address."""
+"""Metrics that a process serves at its metrics address."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator, Mapping
@@ -13,9 +13,9 @@
 from prometheus_client.registry import Collector
 
 from sardinemast.metrics._exposition import Family, fill_histogram
-from sardinemast.metrics._latencies import create_histogram, record_s
+from sardinemast.metrics._latencies import create_histogram, record_latency
 
-# By gauge, the current figure of each label; '' where there is but one.
+# Current values by gauge and label; the label is '' for a single value.
 Gauges = Mapping[str, Mapping[str, float]]
 
 
@@ -24,9 +24,9 @@
 
 
 class ProcessMetrics:
-    """Count decisions, and calls by what was asked and how it ended.
+    """Count decisions and calls, and record the latencies of calls.
 
-    ``list_gauges`` is asked for current figures at each reading.
+    ``list_gauges`` returns the current gauges and is called for each scrape.
     """
 
     def __init__(self) -> None:
@@ -36,18 +36,18 @@
         self._latencies: dict[str, HdrHistogram] = {}
 
     def record_decision(self, event: str) -> None:
-        """Count a decision."""
+        """Count a logged decision by its event."""
         self._decisions[event] += 1
 
     def record_call(self, action: str, outcome: str, elapsed_s: float) -> None:
-        """Count a call and the time until its answer."""
+        """Count a call by action and outcome, and record its latency."""
         self._calls[action, outcome] += 1
         if action not in self._latencies:
             self._latencies[action] = create_histogram()
-        record_s(self._latencies[action], elapsed_s)
+        record_latency(self._latencies[action], elapsed_s)
 
     def render(self) -> bytes:
-        """Give all metrics in the usual text format."""
+        """Return all metrics in the Prometheus text format."""
         registry = CollectorRegistry()
         registry.register(_ProcessCollector(self._collect))
         return generate_latest(registry)
@@ -80,14 +80,14 @@
         yield from self._collect_gauges()
 
     def _collect_gauges(self) -> Iterator[Family]:
-        for name, figures in self.list_gauges().items():
+        for name, values_by_label in self.list_gauges().items():
             gauge = GaugeMetricFamily(
                 f'sardinemast_{name}',
                 f'Current {name}.',
                 labels=['of'],
             )
-            for label, figure in figures.items():
-                gauge.add_metric([label], figure)
+            for label, current in values_by_label.items():
+                gauge.add_metric([label], current)
             yield gauge
 
 
@@ -96,5 +96,5 @@
         self._list_families = list_families
 
     def collect(self) -> Iterator[Family]:
-        """Give all families of metrics."""
+        """Yield all metric families."""
         return self._list_families()
--- a/tests/metrics/test_process_metrics.py
+++ b/tests/metrics/test_process_metrics.py
@@ -1,10 +1,10 @@
-"""Metrics of a process, as their reader gets them."""
+"""Metrics of a process in the text format."""
 
 from sardinemast.metrics import ProcessMetrics
 
 
-def test_calls_decisions_and_current_figures_are_told() -> None:
-    """An engineer at night sees what was asked, decided, and what waits."""
+def test_calls_decisions_and_gauges_are_rendered() -> None:
+    """Render counters of calls and decisions, latencies and gauges."""
     metrics = ProcessMetrics()
     metrics.record_call('submit', 'done', 0.02)
     metrics.record_call('submit', 'refused', 0.15)
@@ -20,8 +20,8 @@
     assert 'sardinemast_tasks_waiting{of="booking"} 7.0' in text
 
 
-def test_figures_are_taken_anew_at_each_reading() -> None:
-    """A queue that has grown since the last reading shows it."""
+def test_gauges_are_collected_for_each_scrape() -> None:
+    """Guard against stale gauges."""
     metrics = ProcessMetrics()
     waiting = {'booking': 1.0}
     metrics.list_gauges = lambda: {'tasks_waiting': waiting}
