--- a/src/sardinemast/protocol/_calls.py
+++ b/src/sardinemast/protocol/_calls.py
@@ -1,4 +1,4 @@
-"""Calls that any process passes on to the leader, and their answers."""
+"""Calls that any process forwards to the leader, and their answers."""
 
 from enum import StrEnum
 from typing import Any, NamedTuple
@@ -9,7 +9,7 @@
 
 
 class JobAction(StrEnum):
-    """What a caller wants of a job, or of a whole queue."""
+    """State what a caller wants to do with a job or a queue."""
 
     submit = 'submit'
     read = 'read'
@@ -19,9 +19,9 @@
 class JobCall(NamedTuple):
     """Submit, read or cancel the job that a path names.
 
-    The queue is the one of the host with the longest prefix of the path, the
-    rest of the path is the job's name. To read a queue itself gives how many
-    jobs wait there. ``request`` is set to submit.
+    The path's queue is the one of the host with the longest matching prefix;
+    the rest of the path is the job's name. Without a name, a read returns
+    the number of waiting jobs. ``request`` is only set to submit a job.
     """
 
     action: JobAction
@@ -32,31 +32,31 @@
 
 
 class AnnounceWorker(NamedTuple):
-    """Say that a worker is there; ``sequence`` grows with each word."""
+    """Announce a worker; a lower ``sequence`` than the last is ignored."""
 
     worker: Worker
     sequence: int
 
 
 class WorkerLeft(NamedTuple):
-    """Say that a worker ends now."""
+    """Report that a worker is shutting down."""
 
     worker: str
 
 
 class ReplaceCatalog(NamedTuple):
-    """Put an operator's catalog in force."""
+    """Replace the catalog; ``source`` is the operator's original text."""
 
     catalog: Catalog
     source: bytes
 
 
 class ReadCatalog(NamedTuple):
-    """Read the catalog in force."""
+    """Read the current catalog."""
 
 
 class BeginWave(NamedTuple):
-    """Have instances maintained, at most ``cap`` of them at once."""
+    """Start a maintenance wave, with at most ``cap`` instances at a time."""
 
     number: int
     instances: tuple[str, ...]
@@ -65,7 +65,7 @@
 
 
 class ReadWave(NamedTuple):
-    """Ask whether a wave is done."""
+    """Read the status of a wave."""
 
     number: int
 
@@ -82,10 +82,10 @@
 
 
 class CallOutcome(StrEnum):
-    """Tell what became of a call.
+    """State the outcome of a call.
 
-    ``refused`` says that nothing of it was or will be done. After
-    ``uncertain`` it may have been done or may be yet.
+    After ``refused`` the call has had and will have no effect. After
+    ``uncertain`` it may have taken effect, or may still do so.
     """
 
     done = 'done'
@@ -98,10 +98,11 @@
 
 
 class CallAnswer(NamedTuple):
-    """Answer a call.
+    """Hold the answer to a call.
 
-    ``status`` is a job's or a wave's, ``waiting`` the length of a queue,
-    ``source`` the text of a catalog, and ``text`` says why not.
+    ``status`` is that of a job or a wave, ``waiting`` the number of jobs
+    waiting in a queue, ``source`` the text of a catalog, and ``text`` the
+    reason for a failure.
     """
 
     outcome: CallOutcome
@@ -112,21 +113,21 @@
 
 
 class PassCall(NamedTuple):
-    """Carry a call to the leader; the same id comes again in a resend."""
+    """Forward a call to the leader; a resend has the same id."""
 
     call_id: int
     call: Call
 
 
 class PassAnswer(NamedTuple):
-    """Carry the answer to a call."""
+    """Return the answer to a forwarded call."""
 
     call_id: int
     answer: CallAnswer
 
 
 class LeaderBeat(NamedTuple):
-    """Show that the leader lives, and name the control processes."""
+    """Signal that the leader is alive, and list the control processes."""
 
     leader: str
     controls: tuple[str, ...]
@@ -145,17 +146,17 @@
 )
 LEADER_MESSAGES = MessageSet(PassAnswer, LeaderBeat, NotLeader)
 
-_CALL_PARTS = 2
+_PACKED_LENGTH = 2
 
 
 def pack_call(passed: PassCall) -> list[Any]:
-    """Give a call and its id as plain values."""
+    """Return a call and its id as plain values."""
     return [passed.call_id, _CALLS.pack(passed.call)]
 
 
 def unpack_call(plain: Any) -> PassCall:
-    """Build a call, or raise ``WireError``."""
-    if not isinstance(plain, list) or len(plain) != _CALL_PARTS:
-        raise WireError('wire.E002', 'A call is an id and what is asked.')
+    """Decode a call from plain values, or raise ``WireError``."""
+    if not isinstance(plain, list) or len(plain) != _PACKED_LENGTH:
+        raise WireError('wire.E002', 'Expected a list of call id and call.')
     call_id, call = plain
     return PassCall(load_plain(int, call_id), _CALLS.unpack(call))
--- a/src/sardinemast/protocol/_messages.py
+++ b/src/sardinemast/protocol/_messages.py
@@ -10,7 +10,7 @@
 
 
 class TeamDemand(NamedTuple):
-    """Say how much a team wants to run at this entry, and runs now."""
+    """Report how many requests of a team could run and do run at an entry."""
 
     team: str
     wanted: int
@@ -18,10 +18,10 @@
 
 
 class GrantReturn(NamedTuple):
-    """Give back what is not needed.
+    """Return a part of a grant; ``amount`` is what the entry keeps.
 
-    ``based_on_index`` is the log index of the amount that the entry knew, so
-    that a return that crossed a newer grant changes nothing.
+    ``based_on_index`` is the log index of the grant that the entry knew. A
+    return is ignored if the grant has changed since.
     """
 
     team: str
@@ -30,10 +30,10 @@
 
 
 class GrantRecall(NamedTuple):
-    """Ask a holder to go down to an amount as its work ends.
+    """Ask a holder to reduce its grant to an amount as requests end.
 
-    ``based_on_index`` is the log index of the grant that is meant; a recall
-    of an older amount changes nothing.
+    ``based_on_index`` is the log index of the grant to reduce. A recall is
+    ignored if the grant has changed since.
     """
 
     team: str
@@ -42,10 +42,10 @@
 
 
 class TeamUse(NamedTuple):
-    """Say what a team has waiting and running in a pool at this entry.
+    """Report a team's waiting and running requests in a pool at an entry.
 
-    ``used_s`` is all service time used since the entry started; what runs
-    now counts up to the moment of the report.
+    ``used_s`` is the total service time since the entry started, including
+    the elapsed time of running requests.
     """
 
     team: str
@@ -55,7 +55,7 @@
 
 
 class PoolUse(NamedTuple):
-    """Say what this entry does in a pool, and how many slots it sees."""
+    """Report an entry's use of a pool and the slots that it knows of."""
 
     pool: str
     capacity_slots: int
@@ -63,14 +63,14 @@
 
 
 class TeamAllotment(NamedTuple):
-    """Give a team's fair part of an entry's slots; it may be a fraction."""
+    """Hold a team's fair share of an entry's slots; it may be fractional."""
 
     team: str
     slots: float
 
 
 class PoolAllotment(NamedTuple):
-    """Give an entry its part of a pool's slots."""
+    """Hold an entry's slots of a pool, and the teams' shares of them."""
 
     pool: str
     slots: int
@@ -78,9 +78,9 @@
 
 
 class RenewLease(NamedTuple):
-    """Ask for the lease to go on; ``sent_at_s`` is the entry's clock.
+    """Request a lease renewal; ``sent_at_s`` is by the entry's clock.
 
-    An ``applied_index`` of ``NEEDS_STATE`` asks for the whole state.
+    An ``applied_index`` of ``NEEDS_STATE`` requests the whole state.
     """
 
     sent_at_s: float
@@ -90,30 +90,30 @@
 
 
 class ReportDemand(NamedTuple):
-    """Tell demand and returns at once, between two renewals."""
+    """Report demand and returns between two lease renewals."""
 
     demands: tuple[TeamDemand, ...]
     returns: tuple[GrantReturn, ...]
 
 
 class ReportPools(NamedTuple):
-    """Tell what this entry does in each pool that it uses."""
+    """Report an entry's use of each pool that it uses."""
 
     pools: tuple[PoolUse, ...]
 
 
 class ReportUpstreams(NamedTuple):
-    """Pass on what upstreams announced, each ``ages_s`` before the sending."""
+    """Forward announcements of upstreams, each received ``ages_s`` ago."""
 
     announcements: tuple[Announcement, ...]
     ages_s: tuple[float, ...] = ()
 
 
 class HeardUpstreams(NamedTuple):
-    """Renew the leases of upstreams that repeated what the leader knows.
+    """Renew the leases of upstreams whose announcements are unchanged.
 
-    ``handles`` is made by ``encode_handles`` and belongs to the ``epoch`` of
-    the roster that gave them.
+    ``handles`` is encoded by ``encode_handles``; the handles were assigned by
+    the leader of the roster's ``epoch``.
     """
 
     epoch: int
@@ -121,10 +121,10 @@
 
 
 class LeaseGranted(NamedTuple):
-    """Renew the lease, counted from ``sent_at_s`` on the entry's clock.
+    """Grant a lease that starts at ``sent_at_s`` on the entry's clock.
 
-    The lease holds only for an entry that has applied ``log_index``: what
-    was told to be in force before the grant is in force with it.
+    It is valid only once the entry has applied ``log_index``. An entry with a
+    lease thus applies all changes reported as in force before the grant.
     """
 
     sent_at_s: float
@@ -133,28 +133,28 @@
 
 
 class StateReplaced(NamedTuple):
-    """Send the whole state, at the start of a stream."""
+    """Send the whole state, at the start of a stream or on request."""
 
     image: FleetImage
 
 
 class AppliedCommand(NamedTuple):
-    """Hold one committed command at its index."""
+    """Hold a committed command and its log index."""
 
     log_index: int
     payload: bytes
 
     def __repr__(self) -> str:
-        """Leave the payload out; it may hold a key's digest."""
+        """Omit the payload, as it may contain the digest of a key."""
         size_bytes = len(self.payload)
         return f'AppliedCommand({self.log_index}, {size_bytes} bytes)'
 
 
 class StateChanged(NamedTuple):
-    """Send what was committed since the last message.
+    """Send the commands committed since the last message.
 
-    ``commands`` holds what changes the entry's state. It follows on
-    ``previous_index`` and brings the entry to ``log_index``.
+    ``commands`` holds those that concern the entry. They apply to the state
+    at ``previous_index`` and bring it to ``log_index``.
     """
 
     commands: tuple[AppliedCommand, ...]
@@ -179,19 +179,19 @@
 
 
 class RecallGrants(NamedTuple):
-    """Ask for grants that other entries wait for."""
+    """Recall grants that other entries wait for."""
 
     recalls: tuple[GrantRecall, ...]
 
 
 class AllotSlots(NamedTuple):
-    """Give an entry its parts of the pools that it uses."""
+    """Allot an entry its slots of the pools that it uses."""
 
     pools: tuple[PoolAllotment, ...]
 
 
 class NotLeader(NamedTuple):
-    """Tell the entry to go to another control process."""
+    """Redirect to ``leader``; it is empty if no leader is known."""
 
     leader: str
 
--- a/src/sardinemast/wire/__init__.py
+++ b/src/sardinemast/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Encode and decode what processes send each other and keep on disk."""
+"""Encode and decode messages between processes and records on disk."""
 
 from sardinemast.wire._codec import (
     MessageSet,
--- a/src/sardinemast/wire/_codec.py
+++ b/src/sardinemast/wire/_codec.py
@@ -1,8 +1,7 @@
-"""Turn typed records into plain values and back.
+"""Convert typed records to plain values and back.
 
-A ``NamedTuple`` becomes a list of its fields. A member of a ``MessageSet``
-becomes a pair of its class name and that list, so that the reader knows which
-class to build.
+A ``NamedTuple`` is encoded as the list of its fields. A member of a
+``MessageSet`` is encoded as a pair of its class name and that list.
 """
 
 import types
@@ -24,182 +23,194 @@
 
 
 def dump_plain(record: Any) -> Any:
-    """Give the record as lists, maps and scalars."""
+    """Convert a record to lists, maps and scalars."""
     if record.__class__ in _PLAIN:
         return record
     if isinstance(record, Enum):
         return record.value
     if isinstance(record, tuple):
-        # Most parts are plain; a call for each took half of the time.
+        # Most elements are plain values; a call for each would be slow.
         return [
-            part if part.__class__ in _PLAIN else dump_plain(part)
-            for part in record
+            element if element.__class__ in _PLAIN else dump_plain(element)
+            for element in record
         ]
     if isinstance(record, Mapping):
-        return {key: dump_plain(part) for key, part in record.items()}
+        return {key: dump_plain(value) for key, value in record.items()}
     return record
 
 
-def load_plain(kind: Any, plain: Any) -> Any:
-    """Build a value of the kind, or raise ``wire.E002``."""
-    return _get_loader(kind)(plain)
+def load_plain(value_type: Any, plain: Any) -> Any:
+    """Build a value of the given type, or raise ``wire.E002``."""
+    return _get_loader(value_type)(plain)
 
 
 @cache
-def _get_loader(kind: Any) -> Loader:
-    # The kind is looked into once; a look at each value of each message was
-    # half of what a leader spent on a large fleet.
-    if kind in {Any, types.NoneType}:
-        return _keep if kind is Any else _load_nothing
-    origin = get_origin(kind)
+def _get_loader(value_type: Any) -> Loader:
+    # Cached, since inspecting the type for each value would dominate the
+    # cost of decoding.
+    if value_type in {Any, types.NoneType}:
+        return _load_any if value_type is Any else _load_none
+    origin = get_origin(value_type)
     if origin is not None:
-        return _make_generic_loader(kind, origin)
-    if kind in _SCALARS:
-        return _make_scalar_loader(kind)
-    if isinstance(kind, type) and issubclass(kind, Enum):
-        return _make_enum_loader(kind)
-    if isinstance(kind, type) and issubclass(kind, tuple):
-        return _make_record_loader(kind)
-    return _make_refuser(kind)
+        return _make_generic_loader(value_type, origin)
+    if value_type in _SCALARS:
+        return _make_scalar_loader(value_type)
+    if isinstance(value_type, type) and issubclass(value_type, Enum):
+        return _make_enum_loader(value_type)
+    if isinstance(value_type, type) and issubclass(value_type, tuple):
+        return _make_record_loader(value_type)
+    return _make_rejecting_loader(value_type)
 
 
-def _keep(plain: Any) -> Any:
+def _load_any(plain: Any) -> Any:
     return plain
 
 
-def _load_nothing(plain: Any) -> None:
+def _load_none(plain: Any) -> None:
     if plain is not None:
-        raise _mismatch(types.NoneType, plain)
+        raise _make_mismatch_error(types.NoneType, plain)
 
 
-def _make_refuser(kind: Any) -> Loader:
-    def refuse(plain: Any) -> Any:
-        raise _mismatch(kind, plain)
+def _make_rejecting_loader(value_type: Any) -> Loader:
+    def reject(plain: Any) -> Any:
+        raise _make_mismatch_error(value_type, plain)
 
-    return refuse
+    return reject
 
 
-def _make_scalar_loader(kind: type) -> Loader:
+def _make_scalar_loader(value_type: type) -> Loader:
     def load(plain: Any) -> Any:
-        # A bool is an int to the language, but never where a number is meant.
-        if plain.__class__ is kind:
+        # An exact check of the class, since bool is a subclass of int.
+        if plain.__class__ is value_type:
             return plain
-        if kind is float and plain.__class__ is int:
+        if value_type is float and plain.__class__ is int:
             return float(plain)
-        raise _mismatch(kind, plain)
+        raise _make_mismatch_error(value_type, plain)
 
     return load
 
 
-def _make_enum_loader(kind: type[Enum]) -> Loader:
+def _make_enum_loader(value_type: type[Enum]) -> Loader:
     def load(plain: Any) -> Any:
         try:
-            return kind(plain)
+            return value_type(plain)
         except ValueError:
-            raise _mismatch(kind, plain) from None
+            raise _make_mismatch_error(value_type, plain) from None
 
     return load
 
 
-def _make_generic_loader(kind: Any, origin: Any) -> Loader:
-    loaders = [_get_loader(part) for part in get_args(kind) if part is not ...]
+def _make_generic_loader(value_type: Any, origin: Any) -> Loader:
+    loaders = [
+        _get_loader(argument)
+        for argument in get_args(value_type)
+        if argument is not ...
+    ]
     if origin is tuple:
-        return _make_sequence_loader(kind, loaders[0])
+        return _make_sequence_loader(value_type, loaders[0])
     if origin in {dict, Mapping}:
-        return _make_mapping_loader(kind, loaders[0], loaders[1])
+        return _make_mapping_loader(value_type, loaders[0], loaders[1])
     if origin in {types.UnionType, Union}:
-        return _make_union_loader(kind, loaders)
-    return _make_refuser(kind)
+        return _make_union_loader(value_type, loaders)
+    return _make_rejecting_loader(value_type)
 
 
-def _make_sequence_loader(kind: Any, load_part: Loader) -> Loader:
+def _make_sequence_loader(value_type: Any, load_element: Loader) -> Loader:
     def load(plain: Any) -> Any:
         if plain.__class__ is not list:
-            raise _mismatch(kind, plain)
-        return tuple(map(load_part, plain))
+            raise _make_mismatch_error(value_type, plain)
+        return tuple(map(load_element, plain))
 
     return load
 
 
 def _make_mapping_loader(
-    kind: Any,
+    value_type: Any,
     load_key: Loader,
-    load_part: Loader,
+    load_value: Loader,
 ) -> Loader:
     def load(plain: Any) -> Any:
         if plain.__class__ is not dict:
-            raise _mismatch(kind, plain)
-        return {load_key(key): load_part(part) for key, part in plain.items()}
+            raise _make_mismatch_error(value_type, plain)
+        return {
+            load_key(key): load_value(value) for key, value in plain.items()
+        }
 
     return load
 
 
-def _make_union_loader(kind: Any, loaders: list[Loader]) -> Loader:
+def _make_union_loader(value_type: Any, loaders: list[Loader]) -> Loader:
     def load(plain: Any) -> Any:
-        for load_part in loaders:
+        for load_member in loaders:
             with suppress(WireError):
-                return load_part(plain)
-        raise _mismatch(kind, plain)
+                return load_member(plain)
+        raise _make_mismatch_error(value_type, plain)
 
     return load
 
 
-def _make_record_loader(kind: Any) -> Loader:
-    hints = get_type_hints(kind)
-    loaders = [_get_loader(hints[name]) for name in kind._fields]
+def _make_record_loader(value_type: Any) -> Loader:
+    hints = get_type_hints(value_type)
+    loaders = [_get_loader(hints[name]) for name in value_type._fields]
 
     def load(plain: Any) -> Any:
         if plain.__class__ is not list or len(plain) != len(loaders):
-            raise _mismatch(kind, plain)
-        return kind(
+            raise _make_mismatch_error(value_type, plain)
+        return value_type(
             *[
-                load_part(part)
-                for load_part, part in zip(loaders, plain, strict=True)
+                load_field(field)
+                for load_field, field in zip(loaders, plain, strict=True)
             ],
         )
 
     return load
 
 
-def _mismatch(kind: Any, plain: Any) -> WireError:
-    name = getattr(kind, '__name__', str(kind))
-    return WireError('wire.E002', f'{type(plain).__name__} is no {name}.')
+def _make_mismatch_error(value_type: Any, plain: Any) -> WireError:
+    name = getattr(value_type, '__name__', str(value_type))
+    return WireError(
+        'wire.E002', f'{type(plain).__name__} is not a valid {name}.'
+    )
 
 
 class MessageSet:
-    """Know the messages of one protocol by name."""
+    """Encode and decode the messages of one protocol, tagged by name."""
 
     def __init__(self, *classes: type) -> None:
         self._classes = {one.__name__: one for one in classes}
 
     def pack(self, message: Any) -> list[Any]:
-        """Give the message with its name, as plain values."""
+        """Return the message as a list of its name and its plain fields."""
         name = type(message).__name__
         if name not in self._classes:
-            raise WireError('wire.E003', f'{name} is not of this protocol.')
+            raise WireError(
+                'wire.E003', f'{name} is not a message of this protocol.'
+            )
         return [name, dump_plain(message)]
 
     def unpack(self, plain: Any) -> Any:
-        """Build the message, or raise ``wire.E002`` or ``wire.E003``."""
+        """Build a message, or raise ``wire.E002`` or ``wire.E003``."""
         if not isinstance(plain, list) or len(plain) != _TAGGED_LENGTH:
-            raise WireError('wire.E002', 'A message is a name and its fields.')
+            raise WireError('wire.E002', 'Expected a list of name and fields.')
         name, fields = plain
         if not isinstance(name, str) or name not in self._classes:
-            raise WireError('wire.E003', f'{name!r} is not of this protocol.')
+            raise WireError(
+                'wire.E003', f'{name!r} is not a message of this protocol.'
+            )
         return load_plain(self._classes[name], fields)
 
     def encode(self, message: Any) -> bytes:
-        """Give the message as CBOR."""
+        """Encode a message as CBOR."""
         return cbor2.dumps(self.pack(message))
 
     def decode(self, encoded: bytes) -> Any:
-        """Build the message from CBOR, or raise ``WireError``."""
+        """Decode a message from CBOR, or raise ``WireError``."""
         return self.unpack(load_cbor(encoded))
 
 
 def load_cbor(encoded: bytes) -> Any:
-    """Read one CBOR value, or raise ``wire.E001``."""
+    """Decode one CBOR value, or raise ``wire.E001``."""
     try:
         return cbor2.loads(encoded)
     except (cbor2.CBORError, ValueError, RecursionError) as error:
-        raise WireError('wire.E001', f'No CBOR: {error}.') from error
+        raise WireError('wire.E001', f'Invalid CBOR: {error}.') from error
--- a/src/sardinemast/wire/_envelope.py
+++ b/src/sardinemast/wire/_envelope.py
@@ -1,4 +1,4 @@
-"""Frame that every message between processes travels in."""
+"""Frame every message between processes in an envelope."""
 
 from typing import Any, NamedTuple
 
@@ -13,7 +13,7 @@
 
 
 class Envelope(NamedTuple):
-    """Say who sent a message, from which incarnation and in which epoch.
+    """Hold a message body and the identity of its sender.
 
     ``wall_ms`` and ``counter`` are the sender's hybrid logical clock.
     """
@@ -29,19 +29,21 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Give the frame as CBOR."""
+    """Encode an envelope as a CBOR frame."""
     return cbor2.dumps(dump_plain(envelope))
 
 
 def decode_envelope(frame: bytes) -> Envelope:
-    """Read a frame, or raise ``WireError`` where it is none of ours."""
+    """Decode a frame, or raise ``WireError`` if it is invalid."""
     if len(frame) > MAX_FRAME_BYTES:
-        raise WireError('wire.E004', f'A frame of {len(frame)} bytes.')
+        raise WireError(
+            'wire.E004', f'The frame of {len(frame)} bytes is too large.'
+        )
     envelope = load_plain(Envelope, load_cbor(frame))
     if envelope.version != PROTOCOL_VERSION:
         raise WireError(
             'wire.E005',
-            f'Protocol version {envelope.version}, not {PROTOCOL_VERSION}.',
+            f'Got protocol version {envelope.version}, not {PROTOCOL_VERSION}.',
             'Run the same release on all instances.',
         )
     return envelope  # type: ignore[no-any-return]
--- a/src/sardinemast/wire/exceptions.py
+++ b/src/sardinemast/wire/exceptions.py
@@ -1,7 +1,7 @@
-"""Errors of the codec."""
+"""Exceptions of the codec."""
 
 from sardinemast.exceptions import CodedError
 
 
 class WireError(CodedError):
-    """Report bytes or values that are not a message of ours."""
+    """Signal bytes or values that are not a valid message."""
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Encoding of messages."""
+"""Tests of the encoding of messages."""
 
 import pytest
 from hypothesis import given
@@ -8,16 +8,16 @@
 from sardinemast.wire import WireError, decode_envelope
 
 
-def test_nested_records_come_back() -> None:
-    """A message with records in it is the same after its way."""
+def test_nested_records_round_trip() -> None:
+    """Guard against losing nested records in a round trip."""
     entries = (LogEntry(1, 1, b'x'),)
     message = AppendEntries(1, 0, 0, entries, 0, 1.5)
     assert MESSAGES.decode(MESSAGES.encode(message)) == message
 
 
 @given(st.binary())
-def test_noise_is_refused_with_a_code(frame: bytes) -> None:
-    """Bytes that are no message raise one error with a code."""
+def test_arbitrary_bytes_raise_coded_error(frame: bytes) -> None:
+    """Guard against uncoded errors when arbitrary bytes are decoded."""
     for decode in (decode_envelope, MESSAGES.decode):
         with pytest.raises(WireError, match=r'^wire\.E00\d'):
             decode(frame)
