--- a/src/sardinemast/shell/_base_handlers.py
+++ b/src/sardinemast/shell/_base_handlers.py
@@ -10,7 +10,7 @@
 from sardinemast.shell._security import Access, CertificateUnit
 
 
-class Desk(Protocol):
+class HandlerService(Protocol):
     """Say what a handler needs of the desk that it serves."""
 
     core: control.ControlCore
@@ -20,15 +20,15 @@
 class OperatorHandler(RequestHandler):
     """Serve whoever presents an operator's certificate."""
 
-    def initialize(self, desk: Any) -> None:
+    def initialize(self, service: Any) -> None:
         """Take the desk that pairs requests with answers."""
-        self.desk = desk
+        self.service = service
 
     def prepare(self) -> None:
         """Refuse whoever is no operator."""
-        desk: Desk = self.desk
+        service: HandlerService = self.service
         connection: Any = self.request.connection
-        if not desk.access.is_allowed(
+        if not service.access.is_allowed(
             connection.stream.socket, CertificateUnit.operator
         ):
             self.refuse(
@@ -40,7 +40,7 @@
     def refuse(self, status: HTTPStatus, code: str, text: str) -> None:
         """Answer with a code, and with the leader to ask instead."""
         self.set_status(status)
-        leader = self.desk.core.replica.leader
+        leader = self.service.core.replica.leader
         self.finish({'code': code, 'text': text, 'leader': leader})
 
 
@@ -50,8 +50,8 @@
     def prepare(self) -> None:
         """Refuse whoever is no operator, and name the leader otherwise."""
         super().prepare()
-        desk: Desk = self.desk
-        if not self._finished and not desk.core.is_leader(time.monotonic()):
+        service: HandlerService = self.service
+        if not self._finished and not service.core.is_leader(time.monotonic()):
             self.refuse(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 'control.E001',
--- a/src/sardinemast/shell/_call_forwarder.py
+++ b/src/sardinemast/shell/_call_forwarder.py
@@ -20,9 +20,9 @@
 from sardinemast.shell._websockets import Outbox, decode_frame_from
 
 # Streams take a control process that misses three beats for lost.
-_BEAT_S = 0.2
+_BEAT_INTERVAL_S = 0.2
 # Longer than any caller waits; an entry gives its callers up by itself.
-_CALL_S = 10.0
+_CALL_TIMEOUT_S = 10.0
 
 
 class CallForwarder:
@@ -43,49 +43,51 @@
         self._identity = identity
         self._access = access
 
-    async def read(self, link: ServerConnection) -> None:
+    async def serve_stream(self, websocket: ServerConnection) -> None:
         """Take calls until the stream ends."""
-        outbox = Outbox(link.send, self._identity)
-        calling: dict[int, asyncio.Task[None]] = {}
-        telling = [
+        outbox = Outbox(websocket.send, self._identity)
+        call_tasks: dict[int, asyncio.Task[None]] = {}
+        stream_tasks = [
             asyncio.create_task(outbox.run()),
-            asyncio.create_task(self._tell_leader(outbox)),
+            asyncio.create_task(self._report_leader(outbox)),
         ]
         try:
-            async for frame in link:
-                self._take(link, frame, outbox, calling)
+            async for frame in websocket:
+                self._handle_frame(websocket, frame, outbox, call_tasks)
         finally:
-            for task in (*telling, *calling.values()):
+            for task in (*stream_tasks, *call_tasks.values()):
                 task.cancel()
 
-    def _take(
+    def _handle_frame(
         self,
-        link: ServerConnection,
+        websocket: ServerConnection,
         frame: Any,
         outbox: Outbox,
-        calling: dict[int, asyncio.Task[None]],
+        call_tasks: dict[int, asyncio.Task[None]],
     ) -> None:
-        envelope = decode_frame_from(link, frame, self._identity, self._access)
-        passed = unpack_call(envelope.body)
+        envelope = decode_frame_from(
+            websocket, frame, self._identity, self._access
+        )
+        request = unpack_call(envelope.body)
         # After a change of leader an entry sends again what has no answer.
-        if passed.call_id in calling:
+        if request.call_id in call_tasks:
             return
-        task = asyncio.create_task(self._pass_on(passed, outbox))
-        calling[passed.call_id] = task
-        task.add_done_callback(lambda _: calling.pop(passed.call_id))
+        task = asyncio.create_task(self._forward(request, outbox))
+        call_tasks[request.call_id] = task
+        task.add_done_callback(lambda _: call_tasks.pop(request.call_id))
 
-    async def _pass_on(self, passed: PassCall, outbox: Outbox) -> None:
-        answer = await self._relay.call(passed.call, _CALL_S)
-        _put(outbox, PassAnswer(passed.call_id, answer))
+    async def _forward(self, request: PassCall, outbox: Outbox) -> None:
+        answer = await self._relay.call(request.call, _CALL_TIMEOUT_S)
+        _put(outbox, PassAnswer(request.call_id, answer))
 
-    async def _tell_leader(self, outbox: Outbox) -> None:
+    async def _report_leader(self, outbox: Outbox) -> None:
         while True:
             message: LeaderMessage = NotLeader('')
             if self._relay.is_connected:
                 relay = self._relay
                 message = LeaderBeat(relay.leader, relay.controls)
             _put(outbox, message)
-            await asyncio.sleep(_BEAT_S)
+            await asyncio.sleep(_BEAT_INTERVAL_S)
 
 
 def _put(outbox: Outbox, message: LeaderMessage) -> None:
--- a/src/sardinemast/shell/_caller_exchange.py
+++ b/src/sardinemast/shell/_caller_exchange.py
@@ -17,24 +17,24 @@
 from sardinemast.admission import Arrival, Refusal
 from sardinemast.shell._headers import (
     OUTCOME_HEADER,
-    filter_answer_headers,
+    filter_response_headers,
 )
 from sardinemast.shell._http_connection import BODYLESS_CODES
 from sardinemast.shell._request_heads import (
     encode_refusal,
     is_unambiguous,
-    read_arrival,
-    refuse_body,
+    parse_arrival,
+    refuse_large_body,
     refuse_malformed,
 )
 from sardinemast.shell._upstream_client import CallerRequest, UpstreamResponse
 
 _WRITE_TIMEOUT_S = 30.0
-_DISCARD_S = 1.0
-_LONGEST_DISCARDED_BYTES = 16_777_216
+_DISCARD_TIMEOUT_S = 1.0
+_MAX_DISCARDED_BYTES = 16_777_216
 
 CallerResponse = UpstreamResponse | Refusal
-Answer = Callable[[CallerResponse], None]
+ResponseCallback = Callable[[CallerResponse], None]
 
 
 class CallerHandler(Protocol):
@@ -43,21 +43,21 @@
     def is_stopping(self) -> bool:
         """Tell whether callers should go elsewhere."""
 
-    def note_writing(self, written: asyncio.Future[None]) -> None:
+    def track_write(self, written: asyncio.Future[None]) -> None:
         """Note an answer that is not all on its way yet."""
 
     def check_head(self, arrival: Arrival) -> Refusal | int:
         """Give the limit of the body in bytes, or refuse by the head."""
 
-    def take_request(
+    def handle_request(
         self,
         request: CallerRequest,
         arrival: Arrival,
-        answer: Answer,
+        respond: ResponseCallback,
     ) -> int:
         """Run a request, and give its id."""
 
-    def forget_caller(self, request_id: int) -> None:
+    def discard_caller(self, request_id: int) -> None:
         """Note that nobody waits for the answer any more."""
 
 
@@ -66,21 +66,21 @@
 
     def __init__(
         self,
-        desk: CallerHandler,
+        handler: CallerHandler,
         connection: HTTP1Connection,
         remote_ip: str,
     ) -> None:
-        self._desk = desk
+        self._handler = handler
         self._connection = connection
         self._remote_ip = remote_ip
         self._start = RequestStartLine('', '', '')
         self._headers = HTTPHeaders()
-        self._parts: list[bytes] = []
+        self._body_chunks: list[bytes] = []
         self._body_bytes = 0
         self._limit_bytes = 0
         self._request_id: int | None = None
-        self._is_whole = False
-        self._is_answered = False
+        self._is_complete = False
+        self._has_responded = False
 
     def headers_received(
         self,
@@ -95,82 +95,84 @@
         # What was read before the connection was closed is still parsed. A
         # request hidden behind a refused one would run, with no answer.
         if self._connection.stream.closed():
-            self._is_answered = True
+            self._has_responded = True
             return
         if not is_unambiguous(start_line, headers):
-            self._is_whole = True
-            self._answer(refuse_malformed())
+            self._is_complete = True
+            self._respond(refuse_malformed())
             return
         if not ('Content-Length' in headers or 'Transfer-Encoding' in headers):
             return
         checked = self._check_head()
         if isinstance(checked, Refusal):
-            self._answer(checked)
+            self._respond(checked)
         else:
             self._limit_bytes = checked
 
     def data_received(self, chunk: bytes) -> None:
         """Take a part of the body, up to the pool's limit."""
         self._body_bytes += len(chunk)
-        if self._is_answered:
-            if self._body_bytes > _LONGEST_DISCARDED_BYTES:
+        if self._has_responded:
+            if self._body_bytes > _MAX_DISCARDED_BYTES:
                 self._connection.close()
         elif self._body_bytes > self._limit_bytes:
-            self._parts.clear()
-            self._answer(refuse_body(self._limit_bytes))
+            self._body_chunks.clear()
+            self._respond(refuse_large_body(self._limit_bytes))
         else:
-            self._parts.append(chunk)
+            self._body_chunks.append(chunk)
 
     def finish(self) -> None:
         """Hand the whole request over."""
-        if self._is_answered:
+        if self._has_responded:
             self._connection.close()
             return
-        self._is_whole = True
-        arrival = read_arrival(self._start, self._headers, self._body_bytes)
+        self._is_complete = True
+        arrival = parse_arrival(self._start, self._headers, self._body_bytes)
         if isinstance(arrival, Refusal):
-            self._answer(arrival)
+            self._respond(arrival)
             return
         request = CallerRequest(
             self._start.method,
             self._start.path,
             self._headers,
-            b''.join(self._parts),
+            b''.join(self._body_chunks),
             self._remote_ip,
         )
         self._connection.set_close_callback(self.on_connection_close)
-        request_id = self._desk.take_request(request, arrival, self._answer)
-        if not self._is_answered:
+        request_id = self._handler.handle_request(
+            request, arrival, self._respond
+        )
+        if not self._has_responded:
             self._request_id = request_id
 
     def on_connection_close(self) -> None:
         """Note that the caller has left."""
-        self._is_answered = True
+        self._has_responded = True
         if self._request_id is not None:
-            self._desk.forget_caller(self._request_id)
+            self._handler.discard_caller(self._request_id)
 
     def _check_head(self) -> Refusal | int:
         declared = self._headers.get('Content-Length', '0')
         body_bytes = int(declared) if declared.isdecimal() else 0
-        arrival = read_arrival(self._start, self._headers, body_bytes)
+        arrival = parse_arrival(self._start, self._headers, body_bytes)
         if isinstance(arrival, Refusal):
             return arrival
-        return self._desk.check_head(arrival)
+        return self._handler.check_head(arrival)
 
-    def _answer(self, answer: CallerResponse) -> None:
-        if self._is_answered:
+    def _respond(self, response: CallerResponse) -> None:
+        if self._has_responded:
             return
-        self._is_answered = True
-        if isinstance(answer, Refusal):
-            self._write_refusal(answer)
+        self._has_responded = True
+        if isinstance(response, Refusal):
+            self._write_refusal(response)
         else:
-            self._write_answer(answer)
+            self._write_response(response)
 
-    def _write_answer(self, answer: UpstreamResponse) -> None:
-        headers = filter_answer_headers(answer.headers)
-        if self._start.method != 'HEAD' and answer.code not in BODYLESS_CODES:
-            headers['Content-Length'] = str(len(answer.body))
-        self._write(answer.code, answer.reason, headers, answer.body)
+    def _write_response(self, response: UpstreamResponse) -> None:
+        headers = filter_response_headers(response.headers)
+        if self._start.method != 'HEAD' and response.code not in BODYLESS_CODES:
+            headers['Content-Length'] = str(len(response.body))
+        self._write(response.code, response.reason, headers, response.body)
 
     def _write_refusal(self, refusal: Refusal) -> None:
         encoded = encode_refusal(refusal)
@@ -196,25 +198,25 @@
         headers: HTTPHeaders,
         body: bytes,
     ) -> None:
-        if self._desk.is_stopping() or not self._is_whole:
+        if self._handler.is_stopping() or not self._is_complete:
             headers['Connection'] = 'close'
         connection = self._connection
         start_line = ResponseStartLine('HTTP/1.1', code, reason)
         written = connection.write_headers(start_line, headers, body)
         # Who asked before sending has sent nothing, and must not be invited.
-        if not self._is_whole and 'Expect' not in self._headers:
+        if not self._is_complete and 'Expect' not in self._headers:
             # A connection that is closed with bytes unread is reset, and a
             # caller in the middle of its upload would not see the answer.
             # What comes is dropped for a while instead.
-            _close_later(connection, _DISCARD_S)
+            _close_later(connection, _DISCARD_TIMEOUT_S)
             return
         connection.finish()
         if not written.done():
-            self._desk.note_writing(written)
-            _close_when_late(written, connection)
+            self._handler.track_write(written)
+            _close_on_write_timeout(written, connection)
 
 
-def _close_when_late(
+def _close_on_write_timeout(
     written: asyncio.Future[None],
     connection: HTTP1Connection,
 ) -> None:
--- a/src/sardinemast/shell/_caller_http.py
+++ b/src/sardinemast/shell/_caller_http.py
@@ -31,15 +31,15 @@
 from sardinemast.shell._request_heads import encode_refusal, refuse_malformed
 from sardinemast.wire import WireError, load_plain
 
-_OWN_PATHS = '/-/'
+_INTERNAL_PATH_PREFIX = '/-/'
 _IDLE_TIMEOUT_S = 60.0
 _BODY_TIMEOUT_S = 30.0
 _KIB_BYTES = 1024
-_LARGEST_BODY_BYTES = _KIB_BYTES**4
-_ANNOUNCEMENT_BYTES = _KIB_BYTES**2
+_MAX_BODY_BYTES = _KIB_BYTES**4
+_MAX_ANNOUNCEMENT_BYTES = _KIB_BYTES**2
 _READ_CHUNK_BYTES = 16384
-_BARE_REFUSAL = b'HTTP/1.1 400 Bad Request\r\n\r\n'
-_MALFORMED_HEAD = (
+_TORNADO_BAD_REQUEST = b'HTTP/1.1 400 Bad Request\r\n\r\n'
+_BAD_REQUEST_HEAD = (
     'HTTP/1.1 400 Bad Request\r\n'
     'Content-Type: application/json\r\n'
     f'{OUTCOME_HEADER}: not run\r\n'
@@ -54,10 +54,10 @@
 )
 
 
-class _Shell(CallerHandler, Protocol):
+class _EntryServer(CallerHandler, Protocol):
     identity: Identity
     loop: Any
-    measures: EntryMetrics
+    metrics: EntryMetrics
 
     def is_ready(self) -> bool:
         """Tell whether the entry may serve."""
@@ -66,15 +66,15 @@
         """Tell whether the entry votes on idempotency keys."""
 
 
-class _PageHandler(RequestHandler):
+class _InternalHandler(RequestHandler):
     """Serve a page of the entry itself."""
 
-    def initialize(self, shell: _Shell) -> None:
+    def initialize(self, entry_server: _EntryServer) -> None:
         """Take the entry's shell."""
-        self._shell = shell
+        self._entry_server = entry_server
 
 
-class AnnounceHandler(_PageHandler):
+class AnnounceHandler(_InternalHandler):
     """Take an upstream's announcement."""
 
     def post(self) -> None:
@@ -92,29 +92,31 @@
                 },
             )
             return
-        self._shell.loop.put(entry.UpstreamAnnounced(announcement))
+        self._entry_server.loop.put(entry.UpstreamAnnounced(announcement))
         self.finish({'status': 'heard'})
 
 
-class MetricsHandler(_PageHandler):
+class MetricsHandler(_InternalHandler):
     """Show what this entry measures, for the usual collectors."""
 
     def get(self) -> None:
         """Give all metrics as text."""
-        is_ready = self._shell.is_ready()
+        is_ready = self._entry_server.is_ready()
         self.set_header('Content-Type', CONTENT_TYPE_LATEST)
-        self.finish(self._shell.measures.render(is_ready=is_ready))
+        self.finish(self._entry_server.metrics.render(is_ready=is_ready))
 
 
-class LatenciesHandler(_PageHandler):
+class LatenciesHandler(_InternalHandler):
     """Show histograms that can be merged with those of other entries."""
 
     def get(self) -> None:
         """Give the encoded histograms."""
-        self.finish({'latencies': self._shell.measures.encode_latencies()})
+        self.finish(
+            {'latencies': self._entry_server.metrics.encode_latencies()}
+        )
 
 
-class HealthHandler(_PageHandler):
+class HealthHandler(_InternalHandler):
     """Tell the balancer whether to send requests here."""
 
     def get(self) -> None:
@@ -123,24 +125,29 @@
         An entry that does not hold keys yet serves all the same: the other
         holders are enough. Only one more that stops then would be missed.
         """
-        is_ready = self._shell.is_ready()
+        is_ready = self._entry_server.is_ready()
         if not is_ready:
             self.set_status(HTTPStatus.SERVICE_UNAVAILABLE)
         self.finish(
-            {'is_ready': is_ready, 'holds_keys': self._shell.holds_keys()},
+            {
+                'is_ready': is_ready,
+                'holds_keys': self._entry_server.holds_keys(),
+            },
         )
 
 
-class _CallerServer(HTTPServerConnectionDelegate):
+class _CallerDelegate(HTTPServerConnectionDelegate):
     """Give each request to the entry's own pages or to the way upstream.
 
     The framework's handlers would cost a request more than all decisions
     about it; docs/design/upstream-client.md has the figures.
     """
 
-    def __init__(self, shell: _Shell, pages: Application) -> None:
-        self._shell = shell
-        self._pages = pages
+    def __init__(
+        self, entry_server: _EntryServer, application: Application
+    ) -> None:
+        self._entry_server = entry_server
+        self._application = application
 
     def start_request(
         self,
@@ -148,45 +155,47 @@
         request_conn: HTTPConnection,
     ) -> HTTPMessageDelegate:
         """Take the next request of a connection."""
-        return _Switch(self._shell, self._pages, server_conn, request_conn)
+        return _RoutingDelegate(
+            self._entry_server, self._application, server_conn, request_conn
+        )
 
 
-class _Switch(HTTPMessageDelegate):
+class _RoutingDelegate(HTTPMessageDelegate):
     def __init__(
         self,
-        shell: _Shell,
-        pages: Application,
+        entry_server: _EntryServer,
+        application: Application,
         server_conn: object,
         request_conn: HTTPConnection,
     ) -> None:
-        self._shell = shell
-        self._pages = pages
+        self._entry_server = entry_server
+        self._application = application
         self._server_conn = server_conn
         self._request_conn = request_conn
-        self._chosen: HTTPMessageDelegate | None = None
+        self._delegate: HTTPMessageDelegate | None = None
 
     def headers_received(
         self,
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> Any:
-        self._chosen = self._choose(start_line)
-        return self._chosen.headers_received(start_line, headers)
+        self._delegate = self._select_delegate(start_line)
+        return self._delegate.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Any:
-        if self._chosen is not None:
-            return self._chosen.data_received(chunk)
+        if self._delegate is not None:
+            return self._delegate.data_received(chunk)
         return None
 
     def finish(self) -> None:
-        if self._chosen is not None:
-            self._chosen.finish()
+        if self._delegate is not None:
+            self._delegate.finish()
 
     def on_connection_close(self) -> None:
-        if self._chosen is not None:
-            self._chosen.on_connection_close()
+        if self._delegate is not None:
+            self._delegate.on_connection_close()
 
-    def _choose(
+    def _select_delegate(
         self,
         start_line: RequestStartLine | ResponseStartLine,
     ) -> HTTPMessageDelegate:
@@ -195,48 +204,58 @@
             raise TypeError(connection)
         if isinstance(
             start_line, RequestStartLine
-        ) and start_line.path.startswith(_OWN_PATHS):
-            connection.set_max_body_size(_ANNOUNCEMENT_BYTES)
-            return self._pages.start_request(self._server_conn, connection)
+        ) and start_line.path.startswith(_INTERNAL_PATH_PREFIX):
+            connection.set_max_body_size(_MAX_ANNOUNCEMENT_BYTES)
+            return self._application.start_request(
+                self._server_conn, connection
+            )
         remote_ip = getattr(connection.context, 'remote_ip', '')
-        return CallerExchange(self._shell, connection, remote_ip)
+        return CallerExchange(self._entry_server, connection, remote_ip)
 
 
-class _CallerStream(IOStream):
+class _CallerIOStream(IOStream):
     """Give the framework's bare answer to a malformed request a body."""
 
     def write(self, data: bytes | memoryview) -> Any:
-        if data == _BARE_REFUSAL:
+        if data == _TORNADO_BAD_REQUEST:
             encoded = encode_refusal(refuse_malformed())
-            head = _MALFORMED_HEAD.format(length=len(encoded))
+            head = _BAD_REQUEST_HEAD.format(length=len(encoded))
             data = head.encode() + encoded
         return super().write(data)
 
 
 class _CallerHttpServer(HTTPServer):
     def handle_stream(self, stream: IOStream, address: Any) -> None:
-        own = _CallerStream(stream.socket, read_chunk_size=_READ_CHUNK_BYTES)
-        super().handle_stream(own, address)
+        wrapped = _CallerIOStream(
+            stream.socket, read_chunk_size=_READ_CHUNK_BYTES
+        )
+        super().handle_stream(wrapped, address)
 
 
-def listen_for_callers(shell: _Shell, address: Address) -> HTTPServer:
+def listen_for_callers(
+    entry_server: _EntryServer, address: Address
+) -> HTTPServer:
     """Open the callers' port."""
-    options = {'shell': shell}
-    pages = Application(
+    options = {'entry_server': entry_server}
+    application = Application(
         [
             ('/-/announce', AnnounceHandler, options),
             ('/-/health', HealthHandler, options),
             ('/-/metrics', MetricsHandler, options),
             ('/-/latencies', LatenciesHandler, options),
-            ('/-/timeline', TimelineHandler, {'identity': shell.identity}),
+            (
+                '/-/timeline',
+                TimelineHandler,
+                {'identity': entry_server.identity},
+            ),
         ],
-        log_function=_skip_log,
+        log_function=_log_nothing,
     )
     server = _CallerHttpServer(
-        _CallerServer(shell, pages),
+        _CallerDelegate(entry_server, application),
         max_header_size=MAX_HEAD_BYTES,
         # Each pool's own limit holds instead; see CallerExchange.
-        max_body_size=_LARGEST_BODY_BYTES,
+        max_body_size=_MAX_BODY_BYTES,
         idle_connection_timeout=_IDLE_TIMEOUT_S,
         body_timeout=_BODY_TIMEOUT_S,
     )
@@ -257,5 +276,5 @@
     return announcement
 
 
-def _skip_log(handler: RequestHandler) -> None:
+def _log_nothing(handler: RequestHandler) -> None:
     """Leave the access log to the time line."""
--- a/src/sardinemast/shell/_caller_streams.py
+++ b/src/sardinemast/shell/_caller_streams.py
@@ -28,18 +28,18 @@
         self._stream_ids = count(1)
         self._outboxes: dict[int, Outbox] = {}
 
-    async def read(self, link: ServerConnection) -> None:
+    async def serve_stream(self, websocket: ServerConnection) -> None:
         """Take calls until the stream ends."""
         stream_id = next(self._stream_ids)
-        outbox = Outbox(link.send, self._identity)
-        sending = asyncio.create_task(outbox.run())
+        outbox = Outbox(websocket.send, self._identity)
+        send_task = asyncio.create_task(outbox.run())
         self._outboxes[stream_id] = outbox
         self._put(control.CallerConnected(stream_id))
         try:
-            await self._take_calls(link, stream_id)
+            await self._receive_calls(websocket, stream_id)
         finally:
-            sending.cancel()
-            self._forget(stream_id)
+            send_task.cancel()
+            self._remove_stream(stream_id)
 
     def send(self, output: control.AnswerCall | control.SendToCaller) -> None:
         """Send an answer or a word of the leader, if the stream is there."""
@@ -52,18 +52,18 @@
         else:
             outbox.put(LEADER_MESSAGES.pack(output.message))
 
-    async def _take_calls(
+    async def _receive_calls(
         self,
-        link: ServerConnection,
+        websocket: ServerConnection,
         stream_id: int,
     ) -> None:
-        async for frame in link:
+        async for frame in websocket:
             envelope = decode_frame_from(
-                link, frame, self._identity, self._access
+                websocket, frame, self._identity, self._access
             )
             passed = unpack_call(envelope.body)
             self._put(control.CallReceived(stream_id, *passed))
 
-    def _forget(self, stream_id: int) -> None:
+    def _remove_stream(self, stream_id: int) -> None:
         self._outboxes.pop(stream_id)
         self._put(control.CallerDisconnected(stream_id))
--- a/src/sardinemast/shell/_connection_pool.py
+++ b/src/sardinemast/shell/_connection_pool.py
@@ -19,10 +19,10 @@
         self._opening = 0
         self._is_closed = False
 
-    def is_for(self, upstream: Announcement) -> bool:
+    def matches(self, upstream: Announcement) -> bool:
         """Tell whether the connections lead to this start of the upstream."""
-        own = self.upstream
-        return (own.incarnation, own.host, own.port) == (
+        current = self.upstream
+        return (current.incarnation, current.host, current.port) == (
             upstream.incarnation,
             upstream.host,
             upstream.port,
@@ -37,7 +37,7 @@
         self.drop_stale(time.monotonic())
         while self._idle:
             connection = self._idle.pop()
-            if connection.is_silent():
+            if connection.has_no_pending_input():
                 connection.is_reused = True
                 return connection
             self.drop(connection)
@@ -58,7 +58,7 @@
         self._open.add(connection)
         return connection
 
-    def give_back(self, connection: HttpConnection) -> None:
+    def release(self, connection: HttpConnection) -> None:
         """Keep a connection whose exchange is over, if it may be kept."""
         if self._is_closed or not connection.may_reuse:
             self.drop(connection)
--- a/src/sardinemast/shell/_control.py
+++ b/src/sardinemast/shell/_control.py
@@ -44,7 +44,10 @@
     Outbox,
     decode_frame_from,
 )
-from sardinemast.shell.exceptions import CoreFailedError, FolderReplacedError
+from sardinemast.shell.exceptions import (
+    CoreFailedError,
+    FolderReplacedError,
+)
 from sardinemast.storage import (
     StorageError,
     open_or_replace_log_store,
@@ -59,8 +62,8 @@
 # the sync itself, which takes 4 to 9 ms on the disks that this is meant for.
 BATCH_DELAY_S = 0.002
 # A full or hanging disk refuses for seconds; each try reads the whole log.
-_DISK_AGAIN_S = 0.5
-_REFUSED = frozenset(('storage.E002',))
+_STORAGE_RETRY_DELAY_S = 0.5
+_RETRYABLE_CODES = frozenset(('storage.E002',))
 
 
 class ControlServer:
@@ -85,7 +88,7 @@
             loaded.hard_state,
             loaded.entries,
             Random(),
-            folder=_restrict(loaded.folder, settings.cluster),
+            folder=_forbid_bootstrap(loaded.folder, settings.cluster),
             snapshot=loaded.snapshot,
         )
         self._metrics.list_gauges = partial(
@@ -98,40 +101,46 @@
             settings.security,
             cluster.bind_host if cluster else '',
         )
-        self.desk = OperatorService(self.core, identity, self._access)
+        self.operator_service = OperatorService(
+            self.core, identity, self._access
+        )
         self.loop = CoreLoop[control.ControlEvent, control.ControlOutput](
             self._step,
             # Looked up once: each look-up makes a new function.
             self._execute,
             _make_tick,
         )
-        self._replica_desk = ReplicaService(
+        self._replica_service = ReplicaService(
             self.core,
             self.loop.put,
             self._access,
         )
-        self._asked: list[control.CommandRequested] = []
+        self._queued_commands: list[control.CommandRequested] = []
         self._identity = identity
         self._stream_ids = count(1)
         self._outboxes: dict[int, Outbox] = {}
         self._peers = PeerSenders(settings, identity, self._access)
         self._callers = CallerStreams(identity, self._access, self.loop.put)
-        self._passing: CallForwarder | None = None
+        self._forwarder: CallForwarder | None = None
         if extras.relay is not None:
-            self._passing = CallForwarder(extras.relay, identity, self._access)
+            self._forwarder = CallForwarder(
+                extras.relay, identity, self._access
+            )
 
     async def run(self, own: ControlAddress) -> None:
         """Serve peers, entries and operators until cancelled."""
-        self.desk.attach(self._put_asked, lambda: self.loop.is_waiting)
+        self.operator_service.attach(
+            self._put_operator_event, lambda: self.loop.is_blocked
+        )
         operator_server = listen_for_operators(
-            self.desk,
+            self.operator_service,
             own.operator,
-            self._replica_desk.get_routes(),
+            self._replica_service.get_routes(),
         )
         try:
             async with (
                 serve(
-                    self._accept,
+                    self._handle_connection,
                     own.peer.host,
                     own.peer.port,
                     ssl=self._access.server_context,
@@ -141,15 +150,15 @@
             ):
                 self._peers.start(tasks)
                 tasks.create_task(self.loop.run())
-                tasks.create_task(self._access.follow_files())
+                tasks.create_task(self._access.refresh_periodically())
                 _log.info('Control {} listens.', own.name)
         finally:
             operator_server.stop()
             self._writer.close()
 
-    def _put_asked(self, event: control.ControlEvent) -> None:
+    def _put_operator_event(self, event: control.ControlEvent) -> None:
         if isinstance(event, control.CommandRequested):
-            self._asked.append(event)
+            self._queued_commands.append(event)
             event = control.CommandsRequested(())
         self.loop.put(event)
 
@@ -161,44 +170,44 @@
         # While one write is synced, more commands come in. They are all
         # taken with the first, so that one sync serves them together.
         if isinstance(event, control.CommandsRequested):
-            if not self._asked:
+            if not self._queued_commands:
                 return []
-            event = control.CommandsRequested(tuple(self._asked))
-            self._asked.clear()
+            event = control.CommandsRequested(tuple(self._queued_commands))
+            self._queued_commands.clear()
         return self.core.step(event, now_s)
 
-    async def _accept(self, link: ServerConnection) -> None:
-        path = link.request.path if link.request else ''
+    async def _handle_connection(self, websocket: ServerConnection) -> None:
+        path = websocket.request.path if websocket.request else ''
         with suppress(ConnectionClosed, WireError):
             if path == '/peer':
-                await self._read_peer(link)
+                await self._receive_from_peer(websocket)
             elif path == '/entry':
-                await self._read_entry(link)
+                await self._receive_from_entry(websocket)
             elif path == CALLS_PATH:
-                await self._callers.read(link)
-            elif path == FORWARD_PATH and self._passing is not None:
-                await self._passing.read(link)
+                await self._callers.serve_stream(websocket)
+            elif path == FORWARD_PATH and self._forwarder is not None:
+                await self._forwarder.serve_stream(websocket)
 
-    async def _read_peer(self, link: ServerConnection) -> None:
-        async for frame in link:
+    async def _receive_from_peer(self, websocket: ServerConnection) -> None:
+        async for frame in websocket:
             envelope = decode_frame_from(
-                link, frame, self._identity, self._access
+                websocket, frame, self._identity, self._access
             )
             received = consensus.unpack_routed_message(
                 envelope.sender, envelope.body
             )
             self.loop.put(control.PeerMessageReceived(*received))
 
-    async def _read_entry(self, link: ServerConnection) -> None:
+    async def _receive_from_entry(self, websocket: ServerConnection) -> None:
         first = decode_frame_from(
-            link,
-            await link.recv(),
+            websocket,
+            await websocket.recv(),
             self._identity,
             self._access,
         )
         stream_id = next(self._stream_ids)
-        outbox = Outbox(link.send, self._identity)
-        sending = asyncio.create_task(outbox.run())
+        outbox = Outbox(websocket.send, self._identity)
+        send_task = asyncio.create_task(outbox.run())
         self._outboxes[stream_id] = outbox
         self.loop.put(
             control.EntryConnected(
@@ -209,17 +218,17 @@
             ),
         )
         try:
-            async for frame in link:
+            async for frame in websocket:
                 envelope = decode_frame_from(
-                    link, frame, self._identity, self._access
+                    websocket, frame, self._identity, self._access
                 )
                 message = ENTRY_MESSAGES.unpack(envelope.body)
                 self.loop.put(control.EntryMessageReceived(stream_id, message))
         finally:
-            sending.cancel()
-            self._forget_stream(stream_id)
+            send_task.cancel()
+            self._remove_stream(stream_id)
 
-    def _forget_stream(self, stream_id: int) -> None:
+    def _remove_stream(self, stream_id: int) -> None:
         self._outboxes.pop(stream_id)
         self.loop.put(control.EntryDisconnected(stream_id))
 
@@ -265,7 +274,7 @@
         )
 
     @_execute.register
-    def _execute_discard(self, output: consensus.ReplaceFolder) -> None:
+    def _execute_replace_folder(self, output: consensus.ReplaceFolder) -> None:
         self._writer.close()
         _log.warning(
             'The folder is set aside: {}.', set_folder_aside(self._folder)
@@ -273,8 +282,8 @@
         raise FolderReplacedError
 
     @_execute.register
-    def _execute_repair(self, output: control.AnswerRepair) -> None:
-        self._replica_desk.answer(output)
+    def _execute_repair_answer(self, output: control.AnswerRepair) -> None:
+        self._replica_service.answer(output)
 
     @_execute.register
     def _execute_role(self, output: consensus.RoleChanged) -> None:
@@ -287,7 +296,7 @@
 
     @_execute.register
     def _execute_answer(self, output: control.AnswerOperator) -> None:
-        self.desk.answer(output)
+        self.operator_service.answer(output)
 
     @_execute.register
     def _execute_entry_send(self, output: control.SendToEntry) -> None:
@@ -298,7 +307,9 @@
                 _log.debug('Stream {} is sent on.', output.stream_id)
 
     @_execute.register
-    def _execute_gather(self, output: control.ScheduleProposals) -> None:
+    def _execute_schedule_proposals(
+        self, output: control.ScheduleProposals
+    ) -> None:
         asyncio.get_running_loop().call_later(
             BATCH_DELAY_S,
             self.loop.put,
@@ -306,7 +317,7 @@
         )
 
     @_execute.register
-    def _execute_continue(self, output: control.ScheduleApply) -> None:
+    def _execute_schedule_apply(self, output: control.ScheduleApply) -> None:
         # What sockets have received meanwhile is read first.
         asyncio.get_running_loop().call_soon(
             self.loop.put,
@@ -350,7 +361,7 @@
     )
 
 
-def _restrict(
+def _forbid_bootstrap(
     folder: consensus.FolderIdentity,
     cluster: Cluster | None,
 ) -> consensus.FolderIdentity:
@@ -371,15 +382,15 @@
     cluster a disk that refuses is tried again, since this process also
     passes calls on to the others; meanwhile it answers no peer.
     """
-    own = _get_listening(settings)
+    own = _get_own_address(settings)
     while True:
         try:
             await _run_once(settings, identity, extras, own)
         except StorageError as error:
-            if settings.cluster is None or error.code not in _REFUSED:
+            if settings.cluster is None or error.code not in _RETRYABLE_CODES:
                 raise
             _log.warning('The disk is tried again: {}', error)
-            await asyncio.sleep(_DISK_AGAIN_S)
+            await asyncio.sleep(_STORAGE_RETRY_DELAY_S)
 
 
 async def _run_once(
@@ -388,20 +399,20 @@
     extras: ControlExtras,
     own: ControlAddress,
 ) -> None:
-    shell = ControlServer(settings, identity, extras)
+    control_server = ControlServer(settings, identity, extras)
     try:
-        await shell.run(own)
+        await control_server.run(own)
     except ExceptionGroup as group:
-        _check_discarded(group)
+        _raise_unless_replaced(group)
 
 
-def _get_listening(settings: ProcessSettings) -> ControlAddress:
+def _get_own_address(settings: ProcessSettings) -> ControlAddress:
     if settings.cluster is not None:
         return settings.cluster.listen_address
     return next(one for one in settings.controls if one.name == settings.name)
 
 
-def _check_discarded(group: ExceptionGroup[Exception]) -> None:
+def _raise_unless_replaced(group: ExceptionGroup[Exception]) -> None:
     for error in group.exceptions:
         if isinstance(error, CodedError):
             raise error
--- a/src/sardinemast/shell/_control_stream.py
+++ b/src/sardinemast/shell/_control_stream.py
@@ -26,8 +26,8 @@
 
 _log = Logger('entry')
 _STREAM_ERRORS = (*CONNECTION_ERRORS, WireError)
-_RECONNECT_S = 0.1
-_SILENCE_S = 1.0
+_RECONNECT_DELAY_S = 0.1
+_READ_TIMEOUT_S = 1.0
 
 
 class ControlStream:
@@ -38,15 +38,15 @@
         identity: Identity,
         controls: Sequence[ControlAddress],
         access: Access,
-        take: Callable[[entry.EntryEvent], None],
+        put_event: Callable[[entry.EntryEvent], None],
     ) -> None:
         self.own_address = Address('', 0)
         self._identity = identity
         self._controls = list(controls)
         self._access = access
-        self._take = take
+        self._put_event = put_event
         self._outbox: Outbox | None = None
-        self._is_reported = False
+        self._is_outage_logged = False
 
     def send(self, message: EntryMessage) -> None:
         """Send a message, or drop it where there is no stream."""
@@ -58,51 +58,53 @@
         while True:
             address = self._controls[0]
             try:
-                await self._read_control(address)
+                await self._run_stream(address)
             except _STREAM_ERRORS as error:
-                self._report(address, error)
+                self._log_outage(address, error)
             self._outbox = None
-            self._take(entry.ControlDisconnected())
+            self._put_event(entry.ControlDisconnected())
             self._controls.append(self._controls.pop(0))
-            await asyncio.sleep(_RECONNECT_S)
+            await asyncio.sleep(_RECONNECT_DELAY_S)
 
-    def _report(self, address: ControlAddress, error: Exception) -> None:
+    def _log_outage(self, address: ControlAddress, error: Exception) -> None:
         # One line for each outage: it is tried again ten times a second.
-        log = _log.debug if self._is_reported else _log.warning
+        log = _log.debug if self._is_outage_logged else _log.warning
         log('No stream to {}: {}.', address.name, error)
-        self._is_reported = True
+        self._is_outage_logged = True
 
-    async def _read_control(self, address: ControlAddress) -> None:
-        async with open_websocket(address.peer, '/entry', self._access) as link:
-            await link.send(
+    async def _run_stream(self, address: ControlAddress) -> None:
+        async with open_websocket(
+            address.peer, '/entry', self._access
+        ) as websocket:
+            await websocket.send(
                 encode_frame(self._identity, dump_plain(self.own_address))
             )
-            outbox = Outbox(link.send, self._identity)
-            sending = asyncio.create_task(outbox.run())
+            outbox = Outbox(websocket.send, self._identity)
+            send_task = asyncio.create_task(outbox.run())
             self._outbox = outbox
             try:
-                await self._take_messages(link)
+                await self._receive_messages(websocket)
             finally:
-                sending.cancel()
+                send_task.cancel()
 
-    async def _take_messages(self, link: ClientConnection) -> None:
+    async def _receive_messages(self, websocket: ClientConnection) -> None:
         while True:
-            async with asyncio.timeout(_SILENCE_S):
-                frame = await link.recv()
+            async with asyncio.timeout(_READ_TIMEOUT_S):
+                frame = await websocket.recv()
             envelope = decode_frame_from(
-                link,
+                websocket,
                 frame,
                 self._identity,
                 self._access,
             )
             message = CONTROL_MESSAGES.unpack(envelope.body)
             if isinstance(message, NotLeader):
-                self._prefer(message.leader)
+                self._prioritize_leader(message.leader)
                 return
-            self._is_reported = False
-            self._take(entry.ControlReceived(message))
+            self._is_outage_logged = False
+            self._put_event(entry.ControlReceived(message))
 
-    def _prefer(self, leader: str) -> None:
+    def _prioritize_leader(self, leader: str) -> None:
         # The list is turned by one after each stream, so the leader is put
         # second to be first next time.
         for one in self._controls[1:]:
--- a/src/sardinemast/shell/_drain.py
+++ b/src/sardinemast/shell/_drain.py
@@ -15,7 +15,7 @@
 # For this long the balancer can see that the entry is not ready, and callers
 # are told to go elsewhere, before connections are closed under them.
 _LINGER_S = 0.5
-_LONGEST_RUN_S = 60.0
+_DRAIN_TIMEOUT_S = 60.0
 _RETURN_TIMEOUT_S = 2.0
 
 
@@ -31,24 +31,24 @@
         """Tell whether a caller waits for an answer, or for a part of it."""
 
 
-async def drain(entry: Drainable, server: HTTPServer) -> None:
+async def drain(entry_server: Drainable, server: HTTPServer) -> None:
     """Finish all requests, give back the grants, and close the port."""
     _log.info('Entry stops.')
-    entry.start_stopping()
+    entry_server.start_stopping()
     await asyncio.sleep(_LINGER_S)
-    await _wait_while(entry.is_busy, _LONGEST_RUN_S)
+    await _wait_while(entry_server.is_busy, _DRAIN_TIMEOUT_S)
     server.stop()
-    await _give_back(entry)
+    await _return_grants(entry_server)
     await server.close_all_connections()
     _log.info('Entry has stopped.')
 
 
-async def _give_back(entry: Drainable) -> None:
-    entry.core.start_returning_grants()
-    await _wait_while(entry.core.holds_grants, _RETURN_TIMEOUT_S)
+async def _return_grants(entry_server: Drainable) -> None:
+    entry_server.core.start_returning_grants()
+    await _wait_while(entry_server.core.holds_grants, _RETURN_TIMEOUT_S)
 
 
-async def _wait_while(is_so: Callable[[], bool], longest_s: float) -> None:
-    give_up_s = time.monotonic() + longest_s
-    while is_so() and time.monotonic() < give_up_s:
+async def _wait_while(condition: Callable[[], bool], timeout_s: float) -> None:
+    deadline_s = time.monotonic() + timeout_s
+    while condition() and time.monotonic() < deadline_s:
         await asyncio.sleep(_POLL_S)
--- a/src/sardinemast/shell/_entry.py
+++ b/src/sardinemast/shell/_entry.py
@@ -14,7 +14,7 @@
 from sardinemast.admission import Arrival, Refusal, refuse_not_run
 from sardinemast.conf import ProcessSettings
 from sardinemast.fleet import find_team_by_key, get_pool
-from sardinemast.shell._caller_exchange import Answer, CallerResponse
+from sardinemast.shell._caller_exchange import CallerResponse, ResponseCallback
 from sardinemast.shell._caller_http import listen_for_callers
 from sardinemast.shell._control_stream import ControlStream
 from sardinemast.shell._drain import drain
@@ -22,10 +22,10 @@
 from sardinemast.shell._entry_peers import EntryPeers
 from sardinemast.shell._headers import IDEMPOTENCY_HEADER
 from sardinemast.shell._idempotent_requests import (
-    check_key,
-    digest_content,
+    cap_deadline,
     digest_parts,
-    limit_deadline,
+    digest_request,
+    parse_key,
 )
 from sardinemast.shell._identity import Identity
 from sardinemast.shell._key_claims import KeyClaims
@@ -38,7 +38,7 @@
 )
 
 _log = Logger('entry')
-_COME_BACK_S = 1.0
+_RETRY_AFTER_S = 1.0
 
 
 class EntryServer:
@@ -63,20 +63,20 @@
         self._request_ids = count(1)
         self._arrivals: dict[int, Arrival] = {}
         self._requests: dict[int, CallerRequest] = {}
-        self._callers: dict[int, Answer] = {}
+        self._responders: dict[int, ResponseCallback] = {}
         self._attempts: dict[int, Attempt] = {}
         self._is_stopping = False
-        self._writing: set[asyncio.Future[None]] = set()
-        self._sending: set[asyncio.Task[None]] = set()
+        self._pending_writes: set[asyncio.Future[None]] = set()
+        self._attempt_tasks: set[asyncio.Task[None]] = set()
         self.client = UpstreamClient()
-        self.measures = EntryMetrics()
+        self.metrics = EntryMetrics()
         self.peers = EntryPeers(identity, access)
         self.holds_keys = self.peers.holds_keys
         self.control = ControlStream(
             identity,
             settings.controls,
             access,
-            self._take_control,
+            self._handle_control_event,
         )
         self._keys = KeyClaims(self.peers, self._admit, self._answer)
 
@@ -94,33 +94,35 @@
 
     def is_busy(self) -> bool:
         """Tell whether a caller waits for an answer, or for a part of it."""
-        return bool(self._callers or self._writing or self._sending)
+        return bool(
+            self._responders or self._pending_writes or self._attempt_tasks
+        )
 
-    def note_writing(self, written: asyncio.Future[None]) -> None:
+    def track_write(self, written: asyncio.Future[None]) -> None:
         """Note an answer that is not all on its way yet."""
-        self._writing.add(written)
-        written.add_done_callback(self._writing.discard)
+        self._pending_writes.add(written)
+        written.add_done_callback(self._pending_writes.discard)
 
     def check_head(self, arrival: Arrival) -> Refusal | int:
         """Give the limit of the body in bytes, or refuse by the head."""
         return self.core.check_head(arrival, time.monotonic())
 
-    def take_request(
+    def handle_request(
         self,
         request: CallerRequest,
         arrival: Arrival,
-        answer: Answer,
+        respond: ResponseCallback,
     ) -> int:
         """Run a caller's request, and give its id."""
         request_id = next(self._request_ids)
         self._requests[request_id] = request
-        self._callers[request_id] = answer
+        self._responders[request_id] = respond
         self._arrivals[request_id] = arrival._replace(request_id=request_id)
-        self._note_arrival(request_id, arrival)
+        self._record_arrival(request_id, arrival)
         if self._is_stopping:
             self._answer(request_id, refuse_while_stopping())
             return request_id
-        key = check_key(request.headers, IDEMPOTENCY_HEADER)
+        key = parse_key(request.headers, IDEMPOTENCY_HEADER)
         if isinstance(key, Refusal):
             self._answer(request_id, key)
         elif key is None:
@@ -129,14 +131,14 @@
             self._claim(request_id, key)
         return request_id
 
-    def forget_caller(self, request_id: int) -> None:
+    def discard_caller(self, request_id: int) -> None:
         """Note that nobody waits for the answer any more."""
-        if self._callers.pop(request_id, None) is not None:
+        if self._responders.pop(request_id, None) is not None:
             self._requests.pop(request_id, None)
             self._arrivals.pop(request_id, None)
             self.loop.put(entry.CallerDisconnected(request_id))
-            self._keys.note_left(request_id)
-            self.measures.forget(request_id)
+            self._keys.release_unsent(request_id)
+            self.metrics.discard(request_id)
 
     @asynccontextmanager
     async def listen_for_peers(self, host: str) -> AsyncIterator[None]:
@@ -145,9 +147,9 @@
             self.control.own_address = address
             yield
 
-    def _note_arrival(self, request_id: int, arrival: Arrival) -> None:
+    def _record_arrival(self, request_id: int, arrival: Arrival) -> None:
         team = find_team_by_key(self.core.state, arrival.key_digest) or ''
-        self.measures.note_arrival(request_id, team, arrival.pool)
+        self.metrics.record_arrival(request_id, team, arrival.pool)
         self.identity.recorder.record(
             'request arrived',
             request=request_id,
@@ -162,28 +164,28 @@
         if pool is None or isinstance(self.check_head(arrival), Refusal):
             self._admit(request_id)
             return
-        left_s = limit_deadline(arrival.deadline_s, pool.deadline_s)
+        left_s = cap_deadline(arrival.deadline_s, pool.deadline_s)
         self._arrivals[request_id] = arrival._replace(deadline_s=left_s)
         team = find_team_by_key(state, arrival.key_digest) or ''
         self._keys.claim(
             idempotency.ClaimRequested(
                 request_id,
                 digest_parts(team, arrival.pool, key),
-                digest_content(self._requests[request_id]),
+                digest_request(self._requests[request_id]),
                 left_s + idempotency.CLAIM_TIMEOUT_S,
             ),
         )
 
     def _admit(self, request_id: int) -> bool:
         arrival = self._arrivals.pop(request_id, None)
-        if arrival is None or request_id not in self._callers:
+        if arrival is None or request_id not in self._responders:
             return False
         self.loop.put(entry.RequestArrived(arrival))
         return True
 
-    def _take_control(self, event: entry.EntryEvent) -> None:
+    def _handle_control_event(self, event: entry.EntryEvent) -> None:
         self.loop.put(event)
-        self.peers.take_entries(self.core.state.idempotency_entries.values())
+        self.peers.update_entries(self.core.state.idempotency_entries.values())
 
     @singledispatchmethod
     def _execute(self, output: entry.EntryOutput) -> None:
@@ -196,17 +198,17 @@
             request=output.request_id,
             upstream=output.upstream.instance,
         )
-        self._keys.note_sent(output.request_id)
-        self.measures.note_attempt(
+        self._keys.record_sent(output.request_id)
+        self.metrics.record_attempt(
             output.request_id,
             output.upstream.instance,
         )
-        task = asyncio.create_task(self._attempt(output))
-        self._sending.add(task)
-        task.add_done_callback(self._sending.discard)
+        task = asyncio.create_task(self._run_attempt(output))
+        self._attempt_tasks.add(task)
+        task.add_done_callback(self._attempt_tasks.discard)
 
     @_execute.register
-    def _execute_pass(self, output: entry.ForwardAnswer) -> None:
+    def _execute_forward_answer(self, output: entry.ForwardAnswer) -> None:
         attempt = self._attempts.pop(output.request_id)
         self.identity.recorder.record(
             'answer passed',
@@ -230,14 +232,14 @@
     def _execute_send(self, output: entry.SendToControl) -> None:
         self.control.send(output.message)
 
-    def _answer(self, request_id: int, answer: CallerResponse) -> None:
-        self._keys.note_answer(request_id, answer)
-        self.measures.note_answer(request_id, answer)
+    def _answer(self, request_id: int, response: CallerResponse) -> None:
+        self._keys.record_answer(request_id, response)
+        self.metrics.record_answer(request_id, response)
         self._arrivals.pop(request_id, None)
         self._requests.pop(request_id, None)
-        give_answer = self._callers.pop(request_id, None)
-        if give_answer is not None:
-            give_answer(answer)
+        respond = self._responders.pop(request_id, None)
+        if respond is not None:
+            respond(response)
 
     async def _send(
         self,
@@ -251,7 +253,7 @@
             _log.exception('Request {} failed here.', output.request_id)
             return Attempt(entry.AttemptResult.broken)
 
-    async def _attempt(self, output: entry.StartAttempt) -> None:
+    async def _run_attempt(self, output: entry.StartAttempt) -> None:
         request = self._requests.get(output.request_id)
         attempt = Attempt(entry.AttemptResult.not_sent)
         if request is not None:
@@ -268,30 +270,30 @@
         'shell.E002',
         HTTPStatus.SERVICE_UNAVAILABLE,
         'This entry stops. Try again; the balancer picks another.',
-        _COME_BACK_S,
+        _RETRY_AFTER_S,
     )
 
 
 async def run_entry(settings: ProcessSettings, identity: Identity) -> None:
     """Run the role entry until cancelled; then finish what was taken."""
-    shell = EntryServer(settings, identity)
-    async with shell.listen_for_peers(settings.callers.host):
-        server = listen_for_callers(shell, settings.callers)
-        serving = asyncio.create_task(_serve(shell))
+    entry_server = EntryServer(settings, identity)
+    async with entry_server.listen_for_peers(settings.callers.host):
+        server = listen_for_callers(entry_server, settings.callers)
+        serving = asyncio.create_task(_serve(entry_server))
         _log.info('Entry {} listens.', settings.name)
         try:
             await asyncio.shield(serving)
         except asyncio.CancelledError:
-            await drain(shell, server)
+            await drain(entry_server, server)
             raise
         finally:
             server.stop()
             serving.cancel()
 
 
-async def _serve(shell: EntryServer) -> None:
+async def _serve(entry_server: EntryServer) -> None:
     async with asyncio.TaskGroup() as tasks:
-        tasks.create_task(shell.loop.run())
-        tasks.create_task(shell.client.run())
-        tasks.create_task(shell.peers.loop.run())
-        tasks.create_task(shell.control.run())
+        tasks.create_task(entry_server.loop.run())
+        tasks.create_task(entry_server.client.run())
+        tasks.create_task(entry_server.peers.loop.run())
+        tasks.create_task(entry_server.control.run())
--- a/src/sardinemast/shell/_entry_peers.py
+++ b/src/sardinemast/shell/_entry_peers.py
@@ -43,7 +43,7 @@
         self._epoch = 0
         self._addresses: dict[str, Address] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._outboxes: dict[str, PeerSender] = {}
+        self._senders: dict[str, PeerSender] = {}
         self._deciding: dict[int, Decide] = {}
 
     def holds_keys(self) -> bool:
@@ -75,7 +75,7 @@
         self._deciding[wanted.request_id] = decide
         self.loop.put(wanted)
 
-    def take_entries(self, entries: Iterable[EntryProcess]) -> None:
+    def update_entries(self, entries: Iterable[EntryProcess]) -> None:
         """Take the entries as the state has them."""
         known = tuple(entries)
         epoch = max((one.log_index for one in known), default=0)
@@ -101,16 +101,16 @@
         former = self._tasks.get(name)
         if former is not None:
             former.cancel()
-        link = PeerSender(self._identity, address, self._access)
+        sender = PeerSender(self._identity, address, self._access)
         self._addresses[name] = address
-        self._outboxes[name] = link
-        self._tasks[name] = asyncio.create_task(link.run())
+        self._senders[name] = sender
+        self._tasks[name] = asyncio.create_task(sender.run())
 
-    async def _read(self, link: ServerConnection) -> None:
+    async def _read(self, websocket: ServerConnection) -> None:
         with suppress(ConnectionClosed, WireError):
-            async for frame in link:
+            async for frame in websocket:
                 envelope = decode_frame_from(
-                    link,
+                    websocket,
                     frame,
                     self._identity,
                     self._access,
@@ -127,9 +127,9 @@
 
     @_execute.register
     def _execute_send(self, output: idempotency.SendToPeer) -> None:
-        link = self._outboxes.get(output.entry)
-        if link is not None:
-            link.send(idempotency.PEER_MESSAGES.pack(output.message))
+        sender = self._senders.get(output.entry)
+        if sender is not None:
+            sender.send(idempotency.PEER_MESSAGES.pack(output.message))
 
     @_execute.register
     def _execute_decision(self, output: idempotency.ClaimDecided) -> None:
--- a/src/sardinemast/shell/_headers.py
+++ b/src/sardinemast/shell/_headers.py
@@ -10,7 +10,7 @@
 _FORWARDED_FOR = 'X-Forwarded-For'
 _FORWARDED_HOST = 'X-Forwarded-Host'
 _OWN_PREFIX = 'sardinemast-'
-_OF_ONE_CONNECTION = frozenset(
+_HOP_BY_HOP = frozenset(
     (
         'connection',
         'keep-alive',
@@ -25,8 +25,8 @@
 )
 # Written anew for each hop, from what really follows. ``Expect`` is answered
 # by this entry; ``Authorization`` holds the caller's key.
-_REWRITTEN = frozenset(('host', 'content-length', 'expect', 'authorization'))
-_NEVER_SENT_ON = _OF_ONE_CONNECTION | _REWRITTEN
+_NOT_COPIED = frozenset(('host', 'content-length', 'expect', 'authorization'))
+_NOT_FORWARDED = _HOP_BY_HOP | _NOT_COPIED
 
 
 def filter_request_headers(
@@ -34,40 +34,46 @@
     remote_ip: str,
 ) -> HTTPHeaders:
     """Give the headers for an upstream, without the caller's key."""
-    kept = _filter(headers, _NEVER_SENT_ON)
-    known = kept.get(_FORWARDED_FOR)
-    kept[_FORWARDED_FOR] = f'{known}, {remote_ip}' if known else remote_ip
+    filtered = _filter(headers, _NOT_FORWARDED)
+    forwarded_for = filtered.get(_FORWARDED_FOR)
+    filtered[_FORWARDED_FOR] = (
+        f'{forwarded_for}, {remote_ip}' if forwarded_for else remote_ip
+    )
     host = headers.get('Host')
-    if host and _FORWARDED_HOST not in kept:
-        kept[_FORWARDED_HOST] = host
-    return kept
+    if host and _FORWARDED_HOST not in filtered:
+        filtered[_FORWARDED_HOST] = host
+    return filtered
 
 
-def filter_answer_headers(headers: HTTPHeaders) -> HTTPHeaders:
+def filter_response_headers(headers: HTTPHeaders) -> HTTPHeaders:
     """Give the headers for a caller.
 
     An upstream that sent ``Sardinemast-Outcome`` could otherwise speak for
     the entry and call a request "not run" that it has run.
     """
-    return _filter(headers, _OF_ONE_CONNECTION)
+    return _filter(headers, _HOP_BY_HOP)
 
 
 def _filter(headers: HTTPHeaders, dropped: frozenset[str]) -> HTTPHeaders:
-    named = headers.get('Connection', '').lower()
+    connection_header = headers.get('Connection', '').lower()
     # What Connection names belongs to the hop too (RFC 9110, 7.6.1); passed
     # on, it could switch the next hop in a way that nobody here has checked.
-    of_hop = {name.strip() for name in named.split(',')} if named else ()
-    kept = HTTPHeaders()
+    hop_headers = (
+        {name.strip() for name in connection_header.split(',')}
+        if connection_header
+        else ()
+    )
+    filtered = HTTPHeaders()
     for name, header in headers.get_all():
         lowered = name.lower()
-        if lowered in dropped or lowered in of_hop:
+        if lowered in dropped or lowered in hop_headers:
             continue
         if lowered.startswith(_OWN_PREFIX):
             continue
-        if name in kept:
-            kept.add(name, header)
+        if name in filtered:
+            filtered.add(name, header)
         else:
             # The parser has checked the value; checking it again would cost
             # as much as the rest of this function.
-            kept[name] = header
-    return kept
+            filtered[name] = header
+    return filtered
--- a/src/sardinemast/shell/_http_connection.py
+++ b/src/sardinemast/shell/_http_connection.py
@@ -14,12 +14,12 @@
 
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 MAX_HEAD_BYTES = 32768
-_UNACKNOWLEDGED_MS = 2000
+_TCP_USER_TIMEOUT_MS = 2000
 _FIRST_FINAL_CODE = 200
 # An upstream that goes on sending heads before the final one never answers.
-_HEADS_MAX = 10
+_MAX_HEADS = 10
 BODYLESS_CODES = frozenset((204, 304))
-_KEPT_VERSION = '1.1'
+_KEEP_ALIVE_VERSION = '1.1'
 _ENCODING = 'latin-1'
 
 Header = tuple[str, str]
@@ -55,33 +55,33 @@
         self._socket: socket.socket | None = None
         self._transport: asyncio.Transport | None = None
         self._parser = HttpResponseParser(self)
-        self._waiting: asyncio.Future[RawResponse | None] | None = None
+        self._response_future: asyncio.Future[RawResponse | None] | None = None
         self._is_head = False
         self._may_reuse = True
-        self._heads = 0
-        self._start_answer()
+        self._head_count = 0
+        self._reset_response()
 
     @classmethod
     async def connect(cls, host: str, port: int) -> Self:
         """Connect, or raise ``OSError``."""
         loop = asyncio.get_running_loop()
-        opened = _make_socket()
+        new_socket = _make_socket()
         connection = cls()
-        connection._socket = opened
+        connection._socket = new_socket
         try:
-            await loop.sock_connect(opened, (host, port))
-            await loop.create_connection(lambda: connection, sock=opened)
+            await loop.sock_connect(new_socket, (host, port))
+            await loop.create_connection(lambda: connection, sock=new_socket)
         except BaseException:
-            opened.close()
+            new_socket.close()
             raise
         return connection
 
     @property
     def may_reuse(self) -> bool:
         """Tell whether the connection may carry another exchange."""
-        return self._may_reuse and self._waiting is None
+        return self._may_reuse and self._response_future is None
 
-    def is_silent(self) -> bool:
+    def has_no_pending_input(self) -> bool:
         """Tell whether nothing has come, neither a byte nor the end."""
         if not self._may_reuse or self._socket is None:
             return False
@@ -94,23 +94,26 @@
             return False
         return False
 
-    def begin(self, request: RawRequest) -> asyncio.Future[RawResponse | None]:
+    def send(self, request: RawRequest) -> asyncio.Future[RawResponse | None]:
         """Write a request; what is given has no answer where it broke off."""
-        waiting = asyncio.get_running_loop().create_future()
+        response_future = asyncio.get_running_loop().create_future()
         if self._transport is None or self._transport.is_closing():
-            waiting.set_result(None)
-            return waiting
-        self._waiting = waiting
+            response_future.set_result(None)
+            return response_future
+        self._response_future = response_future
         self._is_head = request.is_head
-        self._heads = 0
-        self._start_answer()
+        self._head_count = 0
+        self._reset_response()
         self._transport.write(request.encoded)
-        return waiting
+        return response_future
 
     def time_out(self) -> None:
         """End an exchange that has taken too long with ``TimeoutError``."""
-        if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_exception(TimeoutError())
+        if (
+            self._response_future is not None
+            and not self._response_future.done()
+        ):
+            self._response_future.set_exception(TimeoutError())
         self._may_reuse = False
 
     def close(self) -> None:
@@ -118,7 +121,7 @@
         self._may_reuse = False
         if self._transport is not None:
             self._transport.abort()
-        self._end(None)
+        self._resolve(None)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport."""
@@ -129,17 +132,17 @@
         """Note that nothing more can come."""
         self._may_reuse = False
         self._socket = None
-        self._end(None)
+        self._resolve(None)
 
-    def data_received(self, received: bytes) -> None:
+    def data_received(self, chunk: bytes) -> None:
         """Parse what has come."""
-        if self._waiting is None:
+        if self._response_future is None:
             self.close()
             return
         if not self._has_head:
-            self._unparsed_bytes += len(received)
+            self._unparsed_bytes += len(chunk)
         try:
-            self._parser.feed_data(received)
+            self._parser.feed_data(chunk)
         except HttpParserCallbackError:
             self.close()
             raise
@@ -151,9 +154,9 @@
 
     def on_message_begin(self) -> None:
         """Begin an answer; one that nobody asked for spoils the rest."""
-        self._heads += 1
-        self._start_answer()
-        if self._waiting is None or self._heads > _HEADS_MAX:
+        self._head_count += 1
+        self._reset_response()
+        if self._response_future is None or self._head_count > _MAX_HEADS:
             self.close()
 
     def on_status(self, reason: bytes) -> None:
@@ -176,13 +179,13 @@
         if self._is_head:
             # The parser would wait for a body that does not come.
             self._may_reuse = False
-            self._finish()
-        elif not self._has_end():
+            self._complete_response()
+        elif not self._has_valid_framing():
             self.close()
 
-    def on_body(self, part: bytes) -> None:
+    def on_body(self, chunk: bytes) -> None:
         """Take a part of the body."""
-        self._body += part
+        self._body += chunk
         if len(self._body) > MAX_RESPONSE_BYTES:
             self.close()
 
@@ -190,12 +193,15 @@
         """Hand the answer over, if it is the final one."""
         if self._code < _FIRST_FINAL_CODE or self._is_head:
             return
-        is_kept = self._parser.should_keep_alive()
-        if not is_kept or self._parser.get_http_version() != _KEPT_VERSION:
+        is_keep_alive = self._parser.should_keep_alive()
+        if (
+            not is_keep_alive
+            or self._parser.get_http_version() != _KEEP_ALIVE_VERSION
+        ):
             self._may_reuse = False
-        self._finish()
+        self._complete_response()
 
-    def _start_answer(self) -> None:
+    def _reset_response(self) -> None:
         self._code = 0
         self._reason = b''
         self._headers: list[Header] = []
@@ -204,7 +210,7 @@
         self._head_bytes = 0
         self._unparsed_bytes = 0
 
-    def _has_end(self) -> bool:
+    def _has_valid_framing(self) -> bool:
         # A body that ends with the connection looks whole when it is cut.
         if self._code in BODYLESS_CODES:
             return True
@@ -215,13 +221,13 @@
             return int(headers['content-length']) <= MAX_RESPONSE_BYTES
         return False
 
-    def _finish(self) -> None:
+    def _complete_response(self) -> None:
         # An answer to a request that is still on its way is no answer to the
         # whole of it: it may belong to an exchange before, or to a part.
         if self._transport is None or self._transport.get_write_buffer_size():
             self.close()
             return
-        self._end(
+        self._resolve(
             RawResponse(
                 self._code,
                 self._reason.decode(_ENCODING),
@@ -230,22 +236,22 @@
             ),
         )
 
-    def _end(self, answer: RawResponse | None) -> None:
-        waiting = self._waiting
-        self._waiting = None
-        if waiting is not None and not waiting.done():
-            waiting.set_result(answer)
+    def _resolve(self, response: RawResponse | None) -> None:
+        response_future = self._response_future
+        self._response_future = None
+        if response_future is not None and not response_future.done():
+            response_future.set_result(response)
 
 
 def _make_socket() -> socket.socket:
-    opened = socket.socket()
-    opened.setblocking(False)
+    new_socket = socket.socket()
+    new_socket.setblocking(False)
     # Packets that a broken path swallows are never acknowledged. The system
     # then ends the connection, also while the upstream works on.
-    opened.setsockopt(
+    new_socket.setsockopt(
         socket.IPPROTO_TCP,
         socket.TCP_USER_TIMEOUT,
-        _UNACKNOWLEDGED_MS,
+        _TCP_USER_TIMEOUT_MS,
     )
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return opened
+    new_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return new_socket
--- a/src/sardinemast/shell/_idempotent_requests.py
+++ b/src/sardinemast/shell/_idempotent_requests.py
@@ -20,24 +20,24 @@
 )
 from sardinemast.shell._upstream_client import CallerRequest, UpstreamResponse
 
-_LONGEST_DEADLINE_S = 120.0
+_MAX_DEADLINE_S = 120.0
 _REPLAYED_HEADER = 'Idempotent-Replayed'
-_LONGEST_KEY = 255
-_COME_BACK_S = 1.0
+_MAX_KEY_LENGTH = 255
+_RETRY_AFTER_S = 1.0
 
 
-def check_key(headers: HTTPHeaders, name: str) -> str | Refusal | None:
+def parse_key(headers: HTTPHeaders, name: str) -> str | Refusal | None:
     """Give the key of a request, nothing without one, or refuse it."""
     found = headers.get_list(name)
     if not found:
         return None
     key = found[0].strip()
-    if len(found) == 1 and 0 < len(key) <= _LONGEST_KEY and key.isascii():
+    if len(found) == 1 and 0 < len(key) <= _MAX_KEY_LENGTH and key.isascii():
         return key
     return refuse_not_run(
         'idempotency.E001',
         HTTPStatus.BAD_REQUEST,
-        f'Send one {name} of 1 to {_LONGEST_KEY} ASCII characters.',
+        f'Send one {name} of 1 to {_MAX_KEY_LENGTH} ASCII characters.',
     )
 
 
@@ -50,22 +50,22 @@
     return digest.digest()
 
 
-def digest_content(request: CallerRequest) -> bytes:
+def digest_request(request: CallerRequest) -> bytes:
     """Give the digest of what a request asks for."""
     return digest_parts(request.method, request.uri, request.body)
 
 
-def limit_deadline(asked_s: float | None, default_s: float) -> float:
+def cap_deadline(requested_s: float | None, default_s: float) -> float:
     """Give the time left, so that a request ends before its key is forgotten.
 
     Holders forget a claim some minutes after it. If the request still ran
     then, a resend would run beside it.
     """
-    left_s = default_s if asked_s is None else asked_s
-    return min(left_s, _LONGEST_DEADLINE_S)
+    remaining_s = default_s if requested_s is None else requested_s
+    return min(remaining_s, _MAX_DEADLINE_S)
 
 
-def describe_outcome(
+def make_request_ended(
     request_id: int,
     answer: UpstreamResponse | Refusal,
 ) -> RequestEnded:
@@ -83,7 +83,7 @@
     return RequestEnded(request_id, ClaimOutcome.unknown)
 
 
-def answer_resend(decided: ClaimDecided) -> UpstreamResponse | Refusal:
+def answer_duplicate(decided: ClaimDecided) -> UpstreamResponse | Refusal:
     """Give the answer to a request that may not run.
 
     All but the mismatch say "unknown": an earlier request with the key may
@@ -102,13 +102,13 @@
             'idempotency.E003',
             HTTPStatus.CONFLICT,
             'A request with this key is running. Send it again later.',
-        )._replace(retry_after_s=_COME_BACK_S)
+        )._replace(retry_after_s=_RETRY_AFTER_S)
     if decided.verdict is ClaimVerdict.unavailable:
         return refuse_unknown(
             'idempotency.E004',
             HTTPStatus.SERVICE_UNAVAILABLE,
             'The key cannot be checked now. Send it again later.',
-        )._replace(retry_after_s=_COME_BACK_S)
+        )._replace(retry_after_s=_RETRY_AFTER_S)
     if decided.verdict is ClaimVerdict.answered:
         return refuse_unknown(
             'idempotency.E005',
--- a/src/sardinemast/shell/_log_writer.py
+++ b/src/sardinemast/shell/_log_writer.py
@@ -18,7 +18,7 @@
 
     def __init__(self, store: LogStore) -> None:
         self.store = store
-        self._thread = ThreadPoolExecutor(1)
+        self._executor = ThreadPoolExecutor(1)
 
     def write(
         self,
@@ -27,7 +27,7 @@
     ) -> asyncio.Future[None]:
         """Begin a write, and give what is done once it is synced."""
         loop = asyncio.get_running_loop()
-        return loop.run_in_executor(self._thread, action, *records)
+        return loop.run_in_executor(self._executor, action, *records)
 
     def close(self) -> None:
         """Wait for a write that is under way, and close the file.
@@ -35,5 +35,5 @@
         Closed before, its number may be that of another file by the time that
         the write goes on.
         """
-        self._thread.shutdown()
+        self._executor.shutdown()
         self.store.close()
--- a/src/sardinemast/shell/_loop.py
+++ b/src/sardinemast/shell/_loop.py
@@ -9,7 +9,7 @@
 EventT = TypeVar('EventT')
 OutputT = TypeVar('OutputT')
 
-TICK_S = 0.02
+TICK_INTERVAL_S = 0.02
 
 
 class CoreLoop(Generic[EventT, OutputT]):
@@ -34,45 +34,45 @@
         self._make_tick = make_tick
         self._inbox: deque[EventT] = deque()
         self._outputs: deque[OutputT] = deque()
-        self._is_stepping = False
+        self._is_processing = False
         self._is_running = False
         self._failure: asyncio.Future[None] | None = None
 
     def put(self, event: EventT) -> None:
         """Hand an event to the core."""
         self._inbox.append(event)
-        if self._is_running and not self._is_stepping:
-            self._take_all()
+        if self._is_running and not self._is_processing:
+            self._process_inbox()
 
     async def run(self) -> None:
         """Run until cancelled; an error of the core ends the process."""
         self._failure = asyncio.get_running_loop().create_future()
         self._is_running = True
-        ticking = asyncio.create_task(self._tick_steadily())
+        tick_task = asyncio.create_task(self._tick_periodically())
         try:
             await self._failure
         finally:
             self._is_running = False
-            ticking.cancel()
+            tick_task.cancel()
 
     @property
-    def is_waiting(self) -> bool:
+    def is_blocked(self) -> bool:
         """Tell whether the core's state is ahead of what is carried out."""
-        return self._is_running and self._is_stepping
+        return self._is_running and self._is_processing
 
-    def _take_all(self) -> None:
-        self._is_stepping = True
+    def _process_inbox(self) -> None:
+        self._is_processing = True
         try:
-            waiting = self._take_until_waiting()
+            waiting = self._process_until_blocked()
         except Exception as error:
             self._fail(error)
             return
         if waiting is None:
-            self._is_stepping = False
+            self._is_processing = False
         else:
-            waiting.add_done_callback(self._go_on)
+            waiting.add_done_callback(self._resume)
 
-    def _take_until_waiting(self) -> asyncio.Future[None] | None:
+    def _process_until_blocked(self) -> asyncio.Future[None] | None:
         while self._outputs or self._inbox:
             if not self._outputs:
                 event = self._inbox.popleft()
@@ -83,12 +83,12 @@
                 return waiting
         return None
 
-    def _go_on(self, waited: asyncio.Future[None]) -> None:
+    def _resume(self, waited: asyncio.Future[None]) -> None:
         if not self._is_running or waited.cancelled():
             return
         error = waited.exception()
         if error is None:
-            self._take_all()
+            self._process_inbox()
         else:
             self._fail(error)
 
@@ -99,10 +99,10 @@
         if self._failure is not None and not self._failure.done():
             self._failure.set_exception(error)
 
-    async def _tick_steadily(self) -> None:
+    async def _tick_periodically(self) -> None:
         while True:
             # Ticks that gathered behind a disk that hangs would all come at
             # once, and say nothing that the first one does not.
-            if not self._is_stepping:
+            if not self._is_processing:
                 self.put(self._make_tick())
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
--- a/src/sardinemast/shell/_operator_http.py
+++ b/src/sardinemast/shell/_operator_http.py
@@ -23,10 +23,10 @@
 from sardinemast.wire import WireError, dump_plain
 
 # A command must fit into one frame between control processes.
-_BODY_LIMIT_BYTES = 4 * 1024 * 1024
+_MAX_BODY_BYTES = 4 * 1024 * 1024
 _ANSWER_TIMEOUT_S = 10.0
 # A sync takes 4 to 9 ms.
-_SETTLE_S = 0.002
+_DURABILITY_POLL_S = 0.002
 
 
 class OperatorService:
@@ -42,33 +42,33 @@
         self.identity = identity
         self.access = access
         self._put: Callable[[control.ControlEvent], None] | None = None
-        self._is_waiting: Callable[[], bool] = bool
+        self._is_core_blocked: Callable[[], bool] = bool
         self._request_ids = count(1)
-        self._waiting: dict[int, asyncio.Future[control.OperatorAnswer]] = {}
+        self._pending: dict[int, asyncio.Future[control.OperatorAnswer]] = {}
 
     def attach(
         self,
         put: Callable[[control.ControlEvent], None],
-        is_waiting: Callable[[], bool],
+        is_core_blocked: Callable[[], bool],
     ) -> None:
         """Take the way to the core, and whether its writes are under way."""
         self._put = put
-        self._is_waiting = is_waiting
+        self._is_core_blocked = is_core_blocked
 
-    async def settle(self) -> None:
+    async def wait_until_durable(self) -> None:
         """Wait until all that the core's state holds is safe.
 
         Read sooner, a single control process could show a change that a loss
         of power takes back.
         """
-        while self._is_waiting():
-            await asyncio.sleep(_SETTLE_S)
+        while self._is_core_blocked():
+            await asyncio.sleep(_DURABILITY_POLL_S)
 
     async def ask(self, command: Any) -> control.OperatorAnswer:
         """Hand a command to the core and wait for the answer."""
         request_id = next(self._request_ids)
         answer = asyncio.get_running_loop().create_future()
-        self._waiting[request_id] = answer
+        self._pending[request_id] = answer
         if self._put is not None:
             self._put(
                 control.CommandRequested(request_id, command, time.time()),
@@ -76,13 +76,13 @@
         try:
             return await asyncio.wait_for(answer, _ANSWER_TIMEOUT_S)
         finally:
-            self._waiting.pop(request_id, None)
+            self._pending.pop(request_id, None)
 
     def answer(self, output: control.AnswerOperator) -> None:
         """Pass an answer to whoever waits for it."""
-        waiting = self._waiting.get(output.request_id)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(output.answer)
+        pending = self._pending.get(output.request_id)
+        if pending is not None and not pending.done():
+            pending.set_result(output.answer)
             self.identity.recorder.record(
                 'operator answered',
                 index=output.answer.log_index,
@@ -102,7 +102,7 @@
             self.refuse(HTTPStatus.BAD_REQUEST, error.code, error.text)
             return
         try:
-            answer = await self.desk.ask(command)
+            answer = await self.service.ask(command)
         except TimeoutError:
             self._refuse_unknown()
             return
@@ -146,8 +146,8 @@
 
     async def get(self) -> None:
         """Give the state, or the leader to ask."""
-        await self.desk.settle()
-        self.finish(describe_state(self.desk.core.state))
+        await self.service.wait_until_durable()
+        self.finish(describe_state(self.service.core.state))
 
 
 class DiffHandler(LeaderHandler):
@@ -155,9 +155,9 @@
 
     async def get(self, before: str, after: str) -> None:
         """Give the fields that differ."""
-        await self.desk.settle()
+        await self.service.wait_until_durable()
         changes = diff_versions(
-            self.desk.core.state,
+            self.service.core.state,
             int(before),
             int(after),
         )
@@ -185,26 +185,26 @@
 
 
 def listen_for_operators(
-    desk: OperatorService,
+    service: OperatorService,
     address: Address,
     more_routes: Sequence[Any] = (),
 ) -> HTTPServer:
     """Open the operators' port."""
-    options = {'desk': desk}
+    options = {'service': service}
     application = Application(
         [
             ('/v1/commands', CommandHandler, options),
             ('/v1/state', StateHandler, options),
             (r'/v1/diff/(\d{1,9})/(\d{1,9})', DiffHandler, options),
             *more_routes,
-            ('/-/timeline', TimelineHandler, {'identity': desk.identity}),
+            ('/-/timeline', TimelineHandler, {'identity': service.identity}),
         ],
-        log_function=_skip_log,
+        log_function=_log_nothing,
     )
     server = HTTPServer(
         application,
-        max_body_size=_BODY_LIMIT_BYTES,
-        ssl_options=desk.access.server_context,
+        max_body_size=_MAX_BODY_BYTES,
+        ssl_options=service.access.server_context,
     )
     server.listen(address.port, address.host)
     return server
@@ -214,5 +214,5 @@
     return [record._asdict() for record in records]
 
 
-def _skip_log(handler: RequestHandler) -> None:
+def _log_nothing(handler: RequestHandler) -> None:
     """Leave the access log to the time line."""
--- a/src/sardinemast/shell/_peer_senders.py
+++ b/src/sardinemast/shell/_peer_senders.py
@@ -30,29 +30,29 @@
             for one in settings.controls
             if one.name != settings.name
         }
-        self._links: dict[str, PeerSender] = {}
+        self._senders: dict[str, PeerSender] = {}
         self._tasks: asyncio.TaskGroup | None = None
 
     def start(self, tasks: asyncio.TaskGroup) -> None:
         """Connect to the peers that the settings name."""
         self._tasks = tasks
         for name in self._addresses:
-            self._get(name)
+            self._get_sender(name)
 
     def send(self, output: SendMessage) -> None:
         """Send a message to a peer, or drop it where none is reached."""
-        link = self._get(output.to)
-        if link is not None:
-            link.send(pack_routed_message(output))
+        sender = self._get_sender(output.to)
+        if sender is not None:
+            sender.send(pack_routed_message(output))
 
-    def _get(self, name: str) -> PeerSender | None:
-        link = self._links.get(name)
+    def _get_sender(self, name: str) -> PeerSender | None:
+        sender = self._senders.get(name)
         address = self._find_address(name)
-        if link is None and address is not None and self._tasks is not None:
-            link = PeerSender(self._identity, address, self._access)
-            self._links[name] = link
-            self._tasks.create_task(link.run())
-        return link
+        if sender is None and address is not None and self._tasks is not None:
+            sender = PeerSender(self._identity, address, self._access)
+            self._senders[name] = sender
+            self._tasks.create_task(sender.run())
+        return sender
 
     def _find_address(self, name: str) -> Address | None:
         known = self._addresses.get(name)
--- a/src/sardinemast/shell/_relay.py
+++ b/src/sardinemast/shell/_relay.py
@@ -37,22 +37,22 @@
 _log = Logger('relay')
 _STREAM_ERRORS = (*CONNECTION_ERRORS, WireError)
 # A leader beats five times a second; after three beats missed it is sought.
-_SILENCE_S = 0.6
-_RECONNECT_S = 0.05
+_READ_TIMEOUT_S = 0.6
+_RECONNECT_DELAY_S = 0.05
 # A process that stands still takes a connection and says nothing on it. Asked
 # in turn with the others, it must not hold up the search for long; a
 # connection between data centres opens within some milliseconds.
-_OPEN_S = 0.25
+_CONNECT_TIMEOUT_S = 0.25
 # A process that passes calls on and knows of no leader is left after this; it
 # may be cut off from those that elected one.
-_LEADERLESS_S = 1.5
+_LEADERLESS_TIMEOUT_S = 1.5
 # A caller waits so long for a leader that is not known, a quarter of the
 # shortest target of about 0.6 s, and is refused with nothing sent.
-_UNSENT_S = 0.15
+_LEADER_WAIT_S = 0.15
 
 
-class _Pending(NamedTuple):
-    passed: PassCall
+class _PendingCall(NamedTuple):
+    request: PassCall
     answer: asyncio.Future[CallAnswer]
 
 
@@ -81,13 +81,13 @@
         founders: tuple[ControlAddress, ...],
         cluster: Cluster,
         access: Access,
-        way: CallRoute = CallRoute.direct,
+        route: CallRoute = CallRoute.direct,
         rng: Random | None = None,
     ) -> None:
         self.leader = ''
         self.controls: tuple[str, ...] = ()
-        self._way = way
-        self._leaderless_s: float | None = None
+        self._route = route
+        self._leaderless_since_s: float | None = None
         self._identity = identity
         self._port = cluster.own.peer.port
         self._access = access
@@ -96,16 +96,16 @@
         # All begin at once, and must not come to the same process.
         (rng or Random()).shuffle(self._names)
         self._call_ids = count(1)
-        self._pending: dict[int, _Pending] = {}
+        self._pending: dict[int, _PendingCall] = {}
         self._resent: set[int] = set()
         self._outbox: Outbox | None = None
-        self._led = asyncio.Event()
-        self._is_reported = False
+        self._has_leader = asyncio.Event()
+        self._is_outage_logged = False
 
     @property
     def is_connected(self) -> bool:
         """Tell whether a leader has been heard on the open stream."""
-        return self._led.is_set()
+        return self._has_leader.is_set()
 
     def update_founders(self, founders: tuple[ControlAddress, ...]) -> None:
         """Ask these control processes too, where none is known."""
@@ -114,11 +114,11 @@
     async def call(self, call: Call, timeout_s: float) -> CallAnswer:
         """Pass a call on and wait for the answer."""
         due_s = time.monotonic() + timeout_s
-        if not await self._wait_for_leader(min(timeout_s, _UNSENT_S)):
+        if not await self._wait_for_leader(min(timeout_s, _LEADER_WAIT_S)):
             return CallAnswer(CallOutcome.refused, text='No leader is known.')
         call_id = next(self._call_ids)
         answer = asyncio.get_running_loop().create_future()
-        pending = _Pending(PassCall(call_id, call), answer)
+        pending = _PendingCall(PassCall(call_id, call), answer)
         self._pending[call_id] = pending
         self._send(pending)
         try:
@@ -135,127 +135,129 @@
         while True:
             name = self._names[0]
             try:
-                await self._read_leader(Address(name, self._port))
+                await self._run_stream(Address(name, self._port))
             except _STREAM_ERRORS as error:
-                self._report(name, error)
+                self._log_outage(name, error)
             self._outbox = None
-            self._leaderless_s = None
-            self._led.clear()
-            self._turn(name)
-            await asyncio.sleep(_RECONNECT_S)
+            self._leaderless_since_s = None
+            self._has_leader.clear()
+            self._rotate_names(name)
+            await asyncio.sleep(_RECONNECT_DELAY_S)
 
     async def _wait_for_leader(self, timeout_s: float) -> bool:
         try:
             async with asyncio.timeout(timeout_s):
-                return await self._led.wait()
+                return await self._has_leader.wait()
         except TimeoutError:
             return False
 
-    def _send(self, pending: _Pending) -> None:
+    def _send(self, pending: _PendingCall) -> None:
         if self._outbox is not None:
-            self._outbox.put(pack_call(pending.passed))
+            self._outbox.put(pack_call(pending.request))
 
-    def _report(self, name: str, error: Exception) -> None:
+    def _log_outage(self, name: str, error: Exception) -> None:
         # One line for each outage: it is tried again many times a second.
-        log = _log.debug if self._is_reported else _log.warning
+        log = _log.debug if self._is_outage_logged else _log.warning
         log('No leader at {}: {!r}.', name, error)
-        self._is_reported = True
+        self._is_outage_logged = True
 
-    def _turn(self, name: str) -> None:
+    def _rotate_names(self, name: str) -> None:
         known = {*self._names, *self._founders}
         rest = [one for one in self._names if one in known and one != name]
         rest.extend(sorted(known.difference(rest, {name})))
         self._names = [*rest, name]
 
-    async def _read_leader(self, address: Address) -> None:
+    async def _run_stream(self, address: Address) -> None:
         async with open_websocket(
             address,
-            self._way,
+            self._route,
             self._access,
-            _OPEN_S,
-        ) as link:
-            outbox = Outbox(link.send, self._identity)
-            sending = asyncio.create_task(outbox.run())
+            _CONNECT_TIMEOUT_S,
+        ) as websocket:
+            outbox = Outbox(websocket.send, self._identity)
+            send_task = asyncio.create_task(outbox.run())
             self._outbox = outbox
             try:
-                await self._take_messages(link)
+                await self._receive_messages(websocket)
             except TimeoutError:
                 # A farewell to a silent leader would wait for its answer
                 # for a second, and callers with it.
-                link.transport.abort()
+                websocket.transport.abort()
                 raise
             finally:
-                sending.cancel()
+                send_task.cancel()
 
-    async def _take_messages(self, link: ClientConnection) -> None:
+    async def _receive_messages(self, websocket: ClientConnection) -> None:
         while True:
-            async with asyncio.timeout(_SILENCE_S):
-                frame = await link.recv()
+            async with asyncio.timeout(_READ_TIMEOUT_S):
+                frame = await websocket.recv()
             envelope = decode_frame_from(
-                link,
+                websocket,
                 frame,
                 self._identity,
                 self._access,
             )
             message = LEADER_MESSAGES.unpack(envelope.body)
             if isinstance(message, NotLeader):
-                if self._must_leave(message):
+                if self._handle_not_leader(message):
                     return
             if isinstance(message, LeaderBeat):
-                self._note_beat(message)
+                self._handle_beat(message)
             elif isinstance(message, PassAnswer):
-                self._note_answer(message)
+                self._handle_answer(message)
 
-    def _must_leave(self, message: NotLeader) -> bool:
+    def _handle_not_leader(self, message: NotLeader) -> bool:
         """Note that there is no leader here; tell whether to go elsewhere."""
-        if self._way is CallRoute.direct:
-            self._prefer(message.leader)
+        if self._route is CallRoute.direct:
+            self._prioritize_leader(message.leader)
             return True
         # It will hear of the next leader soon. If each entry looked for that
         # one among all control processes meanwhile, these would have no time
         # left to elect it.
-        self._led.clear()
+        self._has_leader.clear()
         now_s = time.monotonic()
-        if self._leaderless_s is None:
-            self._leaderless_s = now_s
-        return now_s >= self._leaderless_s + _LEADERLESS_S
+        if self._leaderless_since_s is None:
+            self._leaderless_since_s = now_s
+        return now_s >= self._leaderless_since_s + _LEADERLESS_TIMEOUT_S
 
-    def _prefer(self, leader: str) -> None:
+    def _prioritize_leader(self, leader: str) -> None:
         # The list is turned by one after each stream, so the leader is put
         # second to be first next time.
         if leader and leader != self._names[0]:
             rest = [one for one in self._names[1:] if one != leader]
             self._names = [self._names[0], leader, *rest]
 
-    def _note_beat(self, beat: LeaderBeat) -> None:
-        first = beat.leader if self._way is CallRoute.direct else self._names[0]
+    def _handle_beat(self, beat: LeaderBeat) -> None:
+        first = (
+            beat.leader if self._route is CallRoute.direct else self._names[0]
+        )
         others = [one for one in beat.controls if one != first]
         self._names = [first, *others]
         self.controls = beat.controls
-        self._leaderless_s = None
-        if not self._led.is_set():
+        self._leaderless_since_s = None
+        if not self._has_leader.is_set():
             self.leader = beat.leader
-            self._is_reported = False
-            self._led.set()
+            self._is_outage_logged = False
+            self._has_leader.set()
             _log.info('The leader is {}.', beat.leader)
             self._resent.update(self._pending)
             for pending in self._pending.values():
                 self._send(pending)
 
-    def _note_answer(self, passed: PassAnswer) -> None:
-        pending = self._pending.get(passed.call_id)
+    def _handle_answer(self, request: PassAnswer) -> None:
+        pending = self._pending.get(request.call_id)
         if pending is None or pending.answer.done():
             return
-        if not self._leaves_open(passed):
-            pending.answer.set_result(passed.answer)
+        if not self._is_inconclusive(request):
+            pending.answer.set_result(request.answer)
 
-    def _leaves_open(self, passed: PassAnswer) -> bool:
+    def _is_inconclusive(self, request: PassAnswer) -> bool:
         """Tell whether an answer does not say what became of the call."""
         # A leader that ends cannot tell what the next one does; the call is
         # sent to that one, and its answer tells.
-        if passed.answer.outcome is CallOutcome.uncertain:
+        if request.answer.outcome is CallOutcome.uncertain:
             return True
         # Refused by a process that found no leader, the call may still run:
         # another process may have passed it on before.
-        is_refused = passed.answer.outcome is CallOutcome.refused
-        return is_refused and passed.call_id in self._resent
+        is_refused = request.answer.outcome is CallOutcome.refused
+        return is_refused and request.call_id in self._resent
--- a/src/sardinemast/shell/_replica_http.py
+++ b/src/sardinemast/shell/_replica_http.py
@@ -27,11 +27,11 @@
         self.access = access
         self._put = put
         self._request_ids = count(1)
-        self._waiting: dict[int, asyncio.Future[control.AnswerRepair]] = {}
+        self._pending: dict[int, asyncio.Future[control.AnswerRepair]] = {}
 
     def get_routes(self) -> list[Any]:
         """Give the handlers by their paths."""
-        options = {'desk': self}
+        options = {'service': self}
         return [
             ('/v1/replicas', ReplicasHandler, options),
             ('/v1/replicas/([^/]+)/repair', RepairHandler, options),
@@ -41,18 +41,18 @@
         """Ask for a replica's folder to be replaced, and wait."""
         request_id = next(self._request_ids)
         answer = asyncio.get_running_loop().create_future()
-        self._waiting[request_id] = answer
+        self._pending[request_id] = answer
         self._put(control.RepairRequested(request_id, name))
         try:
             return await asyncio.wait_for(answer, _ANSWER_TIMEOUT_S)
         finally:
-            self._waiting.pop(request_id, None)
+            self._pending.pop(request_id, None)
 
     def answer(self, output: control.AnswerRepair) -> None:
         """Pass the answer to whoever waits for it."""
-        waiting = self._waiting.get(output.request_id)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(output)
+        pending = self._pending.get(output.request_id)
+        if pending is not None and not pending.done():
+            pending.set_result(output)
 
 
 class ReplicasHandler(LeaderHandler):
@@ -60,7 +60,7 @@
 
     def get(self) -> None:
         """Give each member with how far it is."""
-        replica = self.desk.core.replica
+        replica = self.service.core.replica
         self.finish(
             {
                 'commit_index': replica.commit_index,
@@ -80,7 +80,7 @@
 
     async def post(self, name: str) -> None:
         """Tell the replica to join anew, where the others are a majority."""
-        answer = await self.desk.ask(name)
+        answer = await self.service.ask(name)
         if answer.is_accepted:
             self.finish({'is_accepted': True, 'replica': name})
         else:
--- a/src/sardinemast/shell/_request_heads.py
+++ b/src/sardinemast/shell/_request_heads.py
@@ -19,7 +19,7 @@
 _BEARER = 'bearer '
 
 
-def read_arrival(
+def parse_arrival(
     start_line: RequestStartLine,
     headers: HTTPHeaders,
     body_bytes: int,
@@ -28,14 +28,14 @@
     deadline_text = headers.get(DEADLINE_HEADER)
     deadline_s = None
     if deadline_text is not None:
-        deadline_s = _read_seconds(deadline_text)
+        deadline_s = _parse_seconds(deadline_text)
         if deadline_s is None:
             return refuse_not_run(
                 'admission.E009',
                 HTTPStatus.BAD_REQUEST,
                 f'{DEADLINE_HEADER} is the time left in seconds, such as 2.5.',
             )
-    key = _read_key(headers.get(KEY_HEADER, ''))
+    key = _parse_bearer_key(headers.get(KEY_HEADER, ''))
     path = start_line.path.partition('?')[0]
     return Arrival(
         request_id=0,
@@ -48,7 +48,7 @@
     )
 
 
-def _read_seconds(text: str) -> float | None:
+def _parse_seconds(text: str) -> float | None:
     try:
         seconds = float(text)
     except ValueError:
@@ -56,7 +56,7 @@
     return seconds if math.isfinite(seconds) else None
 
 
-def _read_key(credentials: str) -> str:
+def _parse_bearer_key(credentials: str) -> str:
     is_bearer = credentials[: len(_BEARER)].lower() == _BEARER
     return credentials[len(_BEARER) :].strip() if is_bearer else ''
 
@@ -85,7 +85,7 @@
     return len(headers.get_list('Host')) == 1
 
 
-def refuse_body(limit_bytes: int) -> Refusal:
+def refuse_large_body(limit_bytes: int) -> Refusal:
     """Refuse a body over the limit."""
     return refuse_not_run(
         'admission.E004',
--- a/src/sardinemast/shell/_security.py
+++ b/src/sardinemast/shell/_security.py
@@ -12,7 +12,7 @@
 from sardinemast.conf import Security
 
 _log = Logger('security')
-_FOLLOW_S = 10.0
+_REFRESH_INTERVAL_S = 10.0
 _UNIT_FIELD = 'organizationalUnitName'
 _NAME_FIELD = 'commonName'
 
@@ -46,15 +46,15 @@
         )
         self.context.verify_mode = ssl.CERT_REQUIRED
         self._security = security
-        self._read_at_ns = _get_changed_ns(security)
+        self._mtimes_ns = _get_mtimes_ns(security)
 
     def refresh(self) -> bool:
         """Read the files again where they changed, and tell whether."""
-        changed_ns = _get_changed_ns(self._security)
-        if changed_ns == self._read_at_ns:
+        mtimes_ns = _get_mtimes_ns(self._security)
+        if mtimes_ns == self._mtimes_ns:
             return False
         _load_files(self.context, self._security)
-        self._read_at_ns = changed_ns
+        self._mtimes_ns = mtimes_ns
         return True
 
 
@@ -103,10 +103,10 @@
         identity = get_peer_identity(tls.getpeercert())
         return identity.unit == unit and name in {'', identity.name}
 
-    async def follow_files(self) -> None:
+    async def refresh_periodically(self) -> None:
         """Use changed files for new connections, until cancelled."""
         while True:
-            await asyncio.sleep(_FOLLOW_S)
+            await asyncio.sleep(_REFRESH_INTERVAL_S)
             self._refresh()
 
     def _refresh(self) -> None:
@@ -154,5 +154,5 @@
     context.load_cert_chain(security.certificate, security.private_key)
 
 
-def _get_changed_ns(security: Security) -> tuple[int, ...]:
+def _get_mtimes_ns(security: Security) -> tuple[int, ...]:
     return tuple(Path(path).stat().st_mtime_ns for path in security)
--- a/src/sardinemast/shell/_upstream_client.py
+++ b/src/sardinemast/shell/_upstream_client.py
@@ -99,38 +99,38 @@
         request: RawRequest,
     ) -> RawAttempt:
         """Send a request once, and give the whole answer or what is known."""
-        due_s = time.monotonic() + start.timeout_s
+        deadline_s = time.monotonic() + start.timeout_s
         pool = self._get_pool(start.upstream)
         try:
-            connection = await _get_connection(pool, start)
+            connection = await _acquire_connection(pool, start)
         except (OSError, TimeoutError):
             return RawAttempt(AttemptResult.not_sent)
         # A process that was stopped after its core's decision goes on here,
         # maybe an hour later. The key may be withdrawn and the limit given to
         # others.
         is_valid = time.monotonic() < start.valid_until_s
-        if not is_valid or not connection.is_silent():
+        if not is_valid or not connection.has_no_pending_input():
             pool.drop(connection)
             return RawAttempt(AttemptResult.not_sent)
-        left_s = due_s - time.monotonic()
+        remaining_s = deadline_s - time.monotonic()
         if connection.is_reused and start.is_repeatable:
             # Half the time is left for a fresh connection, in case that
             # something between has lost track of this one.
-            left_s /= 2
+            remaining_s /= 2
         try:
-            answer = await _await_answer(connection, request, left_s)
+            answer = await _wait_for_response(connection, request, remaining_s)
         except TimeoutError:
             pool.drop(connection)
-            return _end_late(pool, connection)
+            return _handle_timeout(pool, connection)
         except asyncio.CancelledError:
             pool.drop(connection)
             raise
-        pool.give_back(connection)
-        return _judge(answer)
+        pool.release(connection)
+        return _classify_response(answer)
 
     def _get_pool(self, upstream: Announcement) -> ConnectionPool:
         pool = self._pools.get(upstream.instance)
-        if pool is None or not pool.is_for(upstream):
+        if pool is None or not pool.matches(upstream):
             if pool is not None:
                 pool.close()
             pool = ConnectionPool(upstream)
@@ -164,7 +164,7 @@
     return RawRequest(encoded + body, method == 'HEAD')
 
 
-async def _get_connection(
+async def _acquire_connection(
     pool: ConnectionPool,
     start: StartAttempt,
 ) -> HttpConnection:
@@ -175,20 +175,24 @@
         return await pool.open(start.connection_limit)
 
 
-async def _await_answer(
+async def _wait_for_response(
     connection: HttpConnection,
     request: RawRequest,
-    left_s: float,
+    remaining_s: float,
 ) -> RawResponse | None:
-    answered = connection.begin(request)
-    ending = asyncio.get_running_loop().call_later(left_s, connection.time_out)
+    response_future = connection.send(request)
+    timer = asyncio.get_running_loop().call_later(
+        remaining_s, connection.time_out
+    )
     try:
-        return await answered
+        return await response_future
     finally:
-        ending.cancel()
+        timer.cancel()
 
 
-def _end_late(pool: ConnectionPool, connection: HttpConnection) -> RawAttempt:
+def _handle_timeout(
+    pool: ConnectionPool, connection: HttpConnection
+) -> RawAttempt:
     if not connection.is_reused:
         return RawAttempt(AttemptResult.timed_out)
     # The next attempt must not meet the same fate on a connection that takes
@@ -197,7 +201,7 @@
     return RawAttempt(AttemptResult.silent)
 
 
-def _judge(answer: RawResponse | None) -> RawAttempt:
+def _classify_response(answer: RawResponse | None) -> RawAttempt:
     if answer is None:
         return RawAttempt(AttemptResult.broken)
     if answer.code in _FAILURE_CODES:
--- a/src/sardinemast/shell/_websockets.py
+++ b/src/sardinemast/shell/_websockets.py
@@ -17,9 +17,9 @@
 from sardinemast.wire import MAX_FRAME_BYTES, Envelope, WireError
 
 _log = Logger('link')
-_QUEUE_FRAMES = 1024
-_RECONNECT_S = 0.2
-_HEARTBEAT_S = 1.0
+_MAX_QUEUED_MESSAGES = 1024
+_RECONNECT_DELAY_S = 0.2
+_PING_INTERVAL_S = 1.0
 CALLS_PATH = '/calls'
 FORWARD_PATH = '/pass'
 
@@ -27,9 +27,9 @@
     {
         'compression': None,
         'max_size': MAX_FRAME_BYTES,
-        'ping_interval': _HEARTBEAT_S,
-        'ping_timeout': 2 * _HEARTBEAT_S,
-        'close_timeout': _HEARTBEAT_S,
+        'ping_interval': _PING_INTERVAL_S,
+        'ping_timeout': 2 * _PING_INTERVAL_S,
+        'close_timeout': _PING_INTERVAL_S,
     }
 )
 CONNECTION_ERRORS = (OSError, TimeoutError, ConnectionClosed, InvalidHandshake)
@@ -40,7 +40,7 @@
     address: Address,
     path: str,
     access: Access,
-    open_timeout_s: float = _HEARTBEAT_S,
+    open_timeout_s: float = _PING_INTERVAL_S,
 ) -> AsyncIterator[ClientConnection]:
     """Connect to another process."""
     context = access.create_client_context()
@@ -55,12 +55,12 @@
         proxy=None,
         ssl=context,
         **options,
-    ) as link:
-        yield link
+    ) as websocket:
+        yield websocket
 
 
 def decode_frame_from(
-    link: Connection,
+    websocket: Connection,
     frame: Any,
     identity: Identity,
     access: Access,
@@ -71,7 +71,7 @@
     sender's name is not that of the certificate.
     """
     envelope = decode_frame(identity, frame)
-    tls = link.transport.get_extra_info('ssl_object')
+    tls = websocket.transport.get_extra_info('ssl_object')
     if not access.is_allowed(tls, CertificateUnit.process, envelope.sender):
         raise WireError(
             'wire.E006',
@@ -96,7 +96,7 @@
         self._identity = identity
         self._address = address
         self._access = access
-        self._outbox: asyncio.Queue[Any] = asyncio.Queue(_QUEUE_FRAMES)
+        self._outbox: asyncio.Queue[Any] = asyncio.Queue(_MAX_QUEUED_MESSAGES)
 
     def send(self, body: Any) -> None:
         """Queue a message, or drop it where the queue is full."""
@@ -107,19 +107,21 @@
         """Hold the stream until cancelled."""
         while True:
             try:
-                await self._send_all()
+                await self._send_queued()
             except CONNECTION_ERRORS as error:
                 _log.debug('Link to {} is down: {}.', self._address, error)
-            self._drop_queued()
-            await asyncio.sleep(_RECONNECT_S)
+            self._discard_queued()
+            await asyncio.sleep(_RECONNECT_DELAY_S)
 
-    async def _send_all(self) -> None:
-        async with open_websocket(self._address, '/peer', self._access) as link:
+    async def _send_queued(self) -> None:
+        async with open_websocket(
+            self._address, '/peer', self._access
+        ) as websocket:
             while True:
                 body = await self._outbox.get()
-                await link.send(encode_frame(self._identity, body))
+                await websocket.send(encode_frame(self._identity, body))
 
-    def _drop_queued(self) -> None:
+    def _discard_queued(self) -> None:
         while not self._outbox.empty():
             self._outbox.get_nowait()
 
--- a/tests/shell/test_call_forwarder.py
+++ b/tests/shell/test_call_forwarder.py
@@ -53,20 +53,20 @@
 
 async def _run_test(test: Test) -> None:
     relay = FakeRelay()
-    passing = CallForwarder(
+    forwarder = CallForwarder(
         relay,  # type: ignore[arg-type]
         create_identity('control-1'),
         Access(None),
     )
-    async with serve(passing.read, _HOST, 0) as server:
+    async with serve(forwarder.serve_stream, _HOST, 0) as server:
         port = server.sockets[0].getsockname()[1]
-        async with connect(f'ws://{_HOST}:{port}', proxy=None) as link:
+        async with connect(f'ws://{_HOST}:{port}', proxy=None) as websocket:
             async with asyncio.timeout(5):
-                await test(link, relay)
+                await test(websocket, relay)
 
 
-async def _receive(link: ClientConnection) -> LeaderMessage:
-    frame = await link.recv()
+async def _receive(websocket: ClientConnection) -> LeaderMessage:
+    frame = await websocket.recv()
     assert isinstance(frame, bytes)
     message: LeaderMessage = LEADER_MESSAGES.unpack(
         decode_frame(_ENTRY, frame).body,
@@ -74,24 +74,26 @@
     return message
 
 
-async def _wait_for(link: ClientConnection, wanted: type) -> LeaderMessage:
+async def _wait_for(websocket: ClientConnection, wanted: type) -> LeaderMessage:
     while True:
-        message = await _receive(link)
+        message = await _receive(websocket)
         if isinstance(message, wanted):
             return message
 
 
-async def _send(link: ClientConnection, call_id: int) -> None:
-    await link.send(encode_frame(_ENTRY, pack_call(PassCall(call_id, _CALL))))
+async def _send(websocket: ClientConnection, call_id: int) -> None:
+    await websocket.send(
+        encode_frame(_ENTRY, pack_call(PassCall(call_id, _CALL)))
+    )
 
 
 def test_answer_comes_back_under_the_number_of_its_call() -> None:
     """Each caller gets the answer to its own call."""
 
-    async def test(link: ClientConnection, relay: FakeRelay) -> None:
+    async def test(websocket: ClientConnection, relay: FakeRelay) -> None:
         relay.may_answer.set()
-        await _send(link, 7)
-        answer = await _wait_for(link, PassAnswer)
+        await _send(websocket, 7)
+        answer = await _wait_for(websocket, PassAnswer)
         assert answer == PassAnswer(7, CallAnswer(CallOutcome.done))
 
     _run(test)
@@ -104,13 +106,13 @@
     leader twice, by this process and by its own resend.
     """
 
-    async def test(link: ClientConnection, relay: FakeRelay) -> None:
-        await _send(link, 7)
-        await _send(link, 7)
+    async def test(websocket: ClientConnection, relay: FakeRelay) -> None:
+        await _send(websocket, 7)
+        await _send(websocket, 7)
         await asyncio.sleep(0.1)
         assert len(relay.calls) == 1
         relay.may_answer.set()
-        await _wait_for(link, PassAnswer)
+        await _wait_for(websocket, PassAnswer)
 
     _run(test)
 
@@ -118,11 +120,13 @@
 def test_entry_hears_that_a_leader_is_lost_and_found() -> None:
     """Its callers are refused at once and truly while there is none."""
 
-    async def test(link: ClientConnection, relay: FakeRelay) -> None:
-        assert await _receive(link) == LeaderBeat(relay.leader, relay.controls)
+    async def test(websocket: ClientConnection, relay: FakeRelay) -> None:
+        assert await _receive(websocket) == LeaderBeat(
+            relay.leader, relay.controls
+        )
         relay.is_connected = False
-        assert await _wait_for(link, NotLeader) == NotLeader('')
+        assert await _wait_for(websocket, NotLeader) == NotLeader('')
         relay.is_connected = True
-        await _wait_for(link, LeaderBeat)
+        await _wait_for(websocket, LeaderBeat)
 
     _run(test)
--- a/tests/shell/test_caller_http.py
+++ b/tests/shell/test_caller_http.py
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self.identity = create_identity('entry-1')
         self.loop: Any = None
-        self.measures = EntryMetrics()
+        self.metrics = EntryMetrics()
         self.arrivals: list[Arrival] = []
         self.forgotten: list[int] = []
         self.writing: list[asyncio.Future[None]] = []
@@ -44,7 +44,7 @@
     def is_stopping(self) -> bool:
         return False
 
-    def note_writing(self, written: asyncio.Future[None]) -> None:
+    def track_write(self, written: asyncio.Future[None]) -> None:
         self.writing.append(written)
 
     def check_head(self, arrival: Arrival) -> Refusal | int:
@@ -56,22 +56,22 @@
             )
         return _LIMIT_BYTES
 
-    def take_request(
+    def handle_request(
         self,
         request: CallerRequest,
         arrival: Arrival,
-        answer: _caller_exchange.Answer,
+        respond: _caller_exchange.ResponseCallback,
     ) -> int:
         self.arrivals.append(arrival)
         if self.gives_answers:
-            answer(
+            respond(
                 UpstreamResponse(
                     200, 'OK', HTTPHeaders(), self.body or request.body
                 )
             )
         return len(self.arrivals)
 
-    def forget_caller(self, request_id: int) -> None:
+    def discard_caller(self, request_id: int) -> None:
         self.forgotten.append(request_id)
 
 
@@ -83,9 +83,9 @@
 
 @asynccontextmanager
 async def _connect(
-    desk: _Desk,
+    handler: _Desk,
 ) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
-    server = listen_for_callers(desk, Address('127.0.0.1', 0))
+    server = listen_for_callers(handler, Address('127.0.0.1', 0))
     port = next(iter(server._sockets.values())).getsockname()[1]
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
     yield reader, writer
@@ -97,10 +97,10 @@
     """Send bytes, and give all that comes back."""
 
     async def run() -> tuple[bytes, _Desk]:
-        desk = _Desk()
-        async with _connect(desk) as (reader, writer):
+        handler = _Desk()
+        async with _connect(handler) as (reader, writer):
             writer.write(sent)
-            return await _read_answer(reader), desk
+            return await _read_answer(reader), handler
 
     return asyncio.run(run())
 
@@ -135,11 +135,11 @@
     entry and the upstream each believed another one, it would run unchecked.
     """
     hidden = b'GET /enrolment/hidden HTTP/1.1\r\nHost: entry\r\n\r\n'
-    received, desk = _send(sent + hidden)
+    received, handler = _send(sent + hidden)
     assert received.startswith(b'HTTP/1.1 400 ')
     assert b'shell.E001' in received
     assert b'Sardinemast-Outcome: not run\r\n' in received
-    assert not desk.arrivals
+    assert not handler.arrivals
 
 
 @pytest.mark.parametrize(
@@ -148,9 +148,9 @@
 def test_deadline_that_is_no_number(deadline: str) -> None:
     """Refuse a deadline that no clock can reach."""
     header = f'Sardinemast-Deadline-S: {deadline}\r\n\r\n'.encode()
-    received, desk = _send(_GET + header)
+    received, handler = _send(_GET + header)
     assert b'admission.E009' in received
-    assert not desk.arrivals
+    assert not handler.arrivals
 
 
 @pytest.mark.parametrize(
@@ -167,10 +167,10 @@
     A caller sends a gigabyte. Read to its end it would fill the memory of a
     small instance before anything is checked.
     """
-    received, desk = _send(sent)
+    received, handler = _send(sent)
     assert received.startswith(b'HTTP/1.1 413 ')
     assert b'admission.E004' in received
-    assert not desk.arrivals
+    assert not handler.arrivals
 
 
 @pytest.mark.parametrize(
@@ -188,10 +188,10 @@
 )
 def test_whole_body_is_handed_over(sent: bytes, body: bytes) -> None:
     """A body in either framing arrives whole."""
-    received, desk = _send(sent)
+    received, handler = _send(sent)
     assert received.startswith(b'HTTP/1.1 200 ')
     assert received.endswith(b'\r\n\r\n' + body)
-    assert [one.body_bytes for one in desk.arrivals] == [len(body)]
+    assert [one.body_bytes for one in handler.arrivals] == [len(body)]
 
 
 def test_caller_that_leaves_is_noticed() -> None:
@@ -201,15 +201,15 @@
     """
 
     async def run() -> _Desk:
-        desk = _Desk()
-        desk.gives_answers = False
-        async with _connect(desk) as (_, writer):
+        handler = _Desk()
+        handler.gives_answers = False
+        async with _connect(handler) as (_, writer):
             writer.write(_GET + b'\r\n')
-            while not desk.arrivals:
+            while not handler.arrivals:
                 await asyncio.sleep(0)
         for _ in range(_MANY_TURNS):
             await asyncio.sleep(0)
-        return desk
+        return handler
 
     assert asyncio.run(run()).forgotten == [1]
 
@@ -224,13 +224,13 @@
     monkeypatch.setattr(_caller_exchange, '_WRITE_TIMEOUT_S', 0.01)
 
     async def run() -> None:
-        desk = _Desk()
-        desk.body = b'x' * 50_000_000
-        async with _connect(desk) as (reader, writer):
+        handler = _Desk()
+        handler.body = b'x' * 50_000_000
+        async with _connect(handler) as (reader, writer):
             writer.write(_GET + b'\r\n')
-            while not desk.writing:
+            while not handler.writing:
                 await asyncio.sleep(0)
-            await asyncio.wait_for(desk.writing[0], 5)
+            await asyncio.wait_for(handler.writing[0], 5)
 
     asyncio.run(run())
 
@@ -239,13 +239,13 @@
     """A caller goes away with half of its answer; a stop must not wait."""
 
     async def run() -> None:
-        desk = _Desk()
-        desk.body = b'x' * 50_000_000
-        async with _connect(desk) as (_, writer):
+        handler = _Desk()
+        handler.body = b'x' * 50_000_000
+        async with _connect(handler) as (_, writer):
             writer.write(_GET + b'\r\n')
-            while not desk.writing:
+            while not handler.writing:
                 await asyncio.sleep(0)
             writer.transport.abort()
-            await asyncio.wait_for(desk.writing[0], 5)
+            await asyncio.wait_for(handler.writing[0], 5)
 
     asyncio.run(run())
--- a/tests/shell/test_loop.py
+++ b/tests/shell/test_loop.py
@@ -55,7 +55,7 @@
         loop.put('first')
         loop.put('second')
         await asyncio.sleep(0.05)
-        assert loop.is_waiting
+        assert loop.is_blocked
         assert disk.done == ['write first']
         disk.syncs[0].set_result(None)
         await asyncio.sleep(0)
@@ -63,7 +63,7 @@
         disk.syncs[1].set_result(None)
         await asyncio.sleep(0)
         assert disk.done[-1] == 'say second'
-        assert not loop.is_waiting
+        assert not loop.is_blocked
 
     _run(test)
 
--- a/tests/shell/test_relay.py
+++ b/tests/shell/test_relay.py
@@ -64,30 +64,32 @@
     """Give a handler that leads, and answers each call by an outcome."""
     identity = create_identity(host)
 
-    async def handle(link: ServerConnection) -> None:
-        beating = asyncio.create_task(_beat(link, identity))
+    async def handle(websocket: ServerConnection) -> None:
+        beating = asyncio.create_task(_beat(websocket, identity))
         try:
-            async for frame in link:
+            async for frame in websocket:
                 passed = unpack_call(decode_frame(identity, frame).body)
                 answer = CallAnswer(outcomes.pop(0))
-                await _send(link, identity, PassAnswer(passed.call_id, answer))
+                await _send(
+                    websocket, identity, PassAnswer(passed.call_id, answer)
+                )
         finally:
             beating.cancel()
 
     return handle
 
 
-async def _beat(link: ServerConnection, identity: Identity) -> None:
+async def _beat(websocket: ServerConnection, identity: Identity) -> None:
     while True:
         beat = LeaderBeat(identity.name, (_FIRST, _SECOND))
-        await _send(link, identity, beat)
+        await _send(websocket, identity, beat)
         await asyncio.sleep(0.1)
 
 
 async def _send(
-    link: ServerConnection, identity: Identity, message: Any
+    websocket: ServerConnection, identity: Identity, message: Any
 ) -> None:
-    await link.send(encode_frame(identity, LEADER_MESSAGES.pack(message)))
+    await websocket.send(encode_frame(identity, LEADER_MESSAGES.pack(message)))
 
 
 async def _wait_connected(relay: LeaderRelay) -> None:
@@ -139,8 +141,8 @@
     async def test(port: int, relay: LeaderRelay) -> None:
         identity = create_identity(_FIRST)
 
-        async def send_on(link: ServerConnection) -> None:
-            await _send(link, identity, NotLeader(''))
+        async def send_on(websocket: ServerConnection) -> None:
+            await _send(websocket, identity, NotLeader(''))
 
         async with serve(send_on, _FIRST, port):
             async with asyncio.timeout(0.5):
@@ -160,13 +162,13 @@
     identity = create_identity(_FIRST)
     opened = 0
 
-    async def elect(link: ServerConnection) -> None:
+    async def elect(websocket: ServerConnection) -> None:
         nonlocal opened
         opened += 1
         for _ in range(4):
-            await _send(link, identity, NotLeader(''))
+            await _send(websocket, identity, NotLeader(''))
             await asyncio.sleep(0.2)
-        await _beat(link, identity)
+        await _beat(websocket, identity)
 
     async def test(port: int, relay: LeaderRelay) -> None:
         async with serve(elect, _FIRST, port), serve(elect, _SECOND, port):
@@ -181,9 +183,9 @@
     """Its control process is cut off from the others, which have elected."""
     identity = create_identity(_FIRST)
 
-    async def be_cut_off(link: ServerConnection) -> None:
+    async def be_cut_off(websocket: ServerConnection) -> None:
         while True:
-            await _send(link, identity, NotLeader(''))
+            await _send(websocket, identity, NotLeader(''))
             await asyncio.sleep(0.1)
 
     async def test(port: int, relay: LeaderRelay) -> None:
@@ -204,10 +206,10 @@
     done, the family books again, and both bookings run.
     """
 
-    async def take_and_break(link: ServerConnection) -> None:
+    async def take_and_break(websocket: ServerConnection) -> None:
         identity = create_identity(_FIRST)
-        beating = asyncio.create_task(_beat(link, identity))
-        await link.recv()
+        beating = asyncio.create_task(_beat(websocket, identity))
+        await websocket.recv()
         beating.cancel()
 
     async def test(port: int, relay: LeaderRelay) -> None:
