--- a/src/sardinemast/shell/__init__.py
+++ b/src/sardinemast/shell/__init__.py
@@ -1,4 +1,4 @@
-"""Sockets, files and clocks around the cores."""
+"""Run the cores in processes: sockets, files, clocks and HTTP."""
 
 from sardinemast.shell._control import run_control
 from sardinemast.shell._entry import run_entry
--- a/src/sardinemast/shell/_call_forwarder.py
+++ b/src/sardinemast/shell/_call_forwarder.py
@@ -1,4 +1,4 @@
-"""Calls of entries that a control process passes on to the leader."""
+"""Forwarding of calls from entries to the leader by a control process."""
 
 import asyncio
 from typing import Any
@@ -19,18 +19,18 @@
 from sardinemast.shell._security import Access
 from sardinemast.shell._websockets import Outbox, decode_frame_from
 
-# Streams take a control process that misses three beats for lost.
+# Entries reconnect after missing three beats.
 _BEAT_INTERVAL_S = 0.2
-# Longer than any caller waits; an entry gives its callers up by itself.
+# Longer than the timeout of any caller, which the entry enforces.
 _CALL_TIMEOUT_S = 10.0
 
 
 class CallForwarder:
-    """Pass calls on to the leader, over the one stream of this process.
+    """Forward calls from entries over this process's stream to the leader.
 
-    Each entry holds a stream to one control process, whichever leads. Held to
-    the leader itself, all would come to each new one at once: it had no time
-    left for its followers, lost its term, and they went on to the next one.
+    Entries connect to any control process and stay there when the leader
+    changes. Otherwise all of them would reconnect to a new leader at once and
+    could overload it until it loses its term.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._access = access
 
     async def serve_stream(self, websocket: ServerConnection) -> None:
-        """Take calls until the stream ends."""
+        """Receive calls until the stream ends."""
         outbox = Outbox(websocket.send, self._identity)
         call_tasks: dict[int, asyncio.Task[None]] = {}
         stream_tasks = [
@@ -69,7 +69,7 @@
             websocket, frame, self._identity, self._access
         )
         request = unpack_call(envelope.body)
-        # After a change of leader an entry sends again what has no answer.
+        # An entry resends pending calls after a change of leader.
         if request.call_id in call_tasks:
             return
         task = asyncio.create_task(self._forward(request, outbox))
--- a/src/sardinemast/shell/_caller_streams.py
+++ b/src/sardinemast/shell/_caller_streams.py
@@ -1,4 +1,4 @@
-"""Streams on which other processes pass calls to a control process."""
+"""Streams on which other processes send calls to a control process."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class CallerStreams:
-    """Hand calls to the core, and send its answers back."""
+    """Deliver calls to the control core and send its answers back."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self._outboxes: dict[int, Outbox] = {}
 
     async def serve_stream(self, websocket: ServerConnection) -> None:
-        """Take calls until the stream ends."""
+        """Receive calls until the stream ends."""
         stream_id = next(self._stream_ids)
         outbox = Outbox(websocket.send, self._identity)
         send_task = asyncio.create_task(outbox.run())
@@ -42,7 +42,7 @@
             self._remove_stream(stream_id)
 
     def send(self, output: control.AnswerCall | control.SendToCaller) -> None:
-        """Send an answer or a word of the leader, if the stream is there."""
+        """Send an answer or a message of the leader if the stream is open."""
         outbox = self._outboxes.get(output.stream_id)
         if outbox is None:
             return
--- a/src/sardinemast/shell/_control.py
+++ b/src/sardinemast/shell/_control.py
@@ -1,4 +1,4 @@
-"""Shell of a control process."""
+"""Control process: connect the control core to sockets and storage."""
 
 import asyncio
 from contextlib import suppress
@@ -58,16 +58,16 @@
 _log = Logger('control')
 _decisions = Logger('dispatch')
 _FOLDER_NAME = 'replica'
-# What comes within this time is written and synced together. It is a part of
-# the sync itself, which takes 4 to 9 ms on the disks that this is meant for.
+# Proposals within this time share one write and sync. It is short compared
+# with the sync itself.
 BATCH_DELAY_S = 0.002
-# A full or hanging disk refuses for seconds; each try reads the whole log.
+# Each retry reads the whole log.
 _STORAGE_RETRY_DELAY_S = 0.5
 _RETRYABLE_CODES = frozenset(('storage.E002',))
 
 
 class ControlServer:
-    """Carry out what the core of a control process decides."""
+    """Feed the control core with messages and execute its outputs."""
 
     def __init__(
         self,
@@ -106,7 +106,7 @@
         )
         self.loop = CoreLoop[control.ControlEvent, control.ControlOutput](
             self._step,
-            # Looked up once: each look-up makes a new function.
+            # Bound once: ``singledispatchmethod`` creates a function per access.
             self._execute,
             _make_tick,
         )
@@ -151,7 +151,7 @@
                 self._peers.start(tasks)
                 tasks.create_task(self.loop.run())
                 tasks.create_task(self._access.refresh_periodically())
-                _log.info('Control {} listens.', own.name)
+                _log.info('Control process {} is listening.', own.name)
         finally:
             operator_server.stop()
             self._writer.close()
@@ -167,8 +167,8 @@
         event: control.ControlEvent,
         now_s: float,
     ) -> list[control.ControlOutput]:
-        # While one write is synced, more commands come in. They are all
-        # taken with the first, so that one sync serves them together.
+        # Commands that arrived during the previous write are proposed as one
+        # batch and share a sync.
         if isinstance(event, control.CommandsRequested):
             if not self._queued_commands:
                 return []
@@ -266,7 +266,9 @@
         self,
         output: consensus.SaveSnapshot,
     ) -> asyncio.Future[None]:
-        _log.info('Snapshot to index {}.', output.snapshot.last_index)
+        _log.info(
+            'Saving a snapshot up to index {}.', output.snapshot.last_index
+        )
         return self._writer.write(
             self._writer.store.save_snapshot,
             output.snapshot,
@@ -277,7 +279,8 @@
     def _execute_replace_folder(self, output: consensus.ReplaceFolder) -> None:
         self._writer.close()
         _log.warning(
-            'The folder is set aside: {}.', set_folder_aside(self._folder)
+            'The data folder was set aside as {}.',
+            set_folder_aside(self._folder),
         )
         raise FolderReplacedError
 
@@ -304,7 +307,10 @@
         if outbox is not None:
             outbox.put(CONTROL_MESSAGES.pack(output.message))
             if isinstance(output.message, NotLeader):
-                _log.debug('Stream {} is sent on.', output.stream_id)
+                _log.debug(
+                    'Entry on stream {} is redirected to the leader.',
+                    output.stream_id,
+                )
 
     @_execute.register
     def _execute_schedule_proposals(
@@ -318,7 +324,7 @@
 
     @_execute.register
     def _execute_schedule_apply(self, output: control.ScheduleApply) -> None:
-        # What sockets have received meanwhile is read first.
+        # Lets the event loop read sockets first.
         asyncio.get_running_loop().call_soon(
             self.loop.put,
             control.ApplyDue(),
@@ -352,7 +358,7 @@
     voters = tuple(one.name for one in settings.controls)
     if settings.cluster is None:
         return consensus.ReplicaSettings(settings.name, voters)
-    # Of 2 n + 1 replicas, n may be lost and the others are a majority.
+    # A majority of 2 n + 1 voters survives n failures.
     voters_max = 2 * settings.cluster.failures_tolerated + 1
     return consensus.ReplicaSettings(
         settings.name,
@@ -375,12 +381,12 @@
     identity: Identity,
     extras: ControlExtras = NO_EXTRAS,
 ) -> None:
-    """Run the role control until cancelled.
+    """Run a control process until cancelled.
 
-    An error of core or files ends it with a ``CodedError``: a process that
-    answers its peers but decides nothing would look alive for ever. In a
-    cluster a disk that refuses is tried again, since this process also
-    passes calls on to the others; meanwhile it answers no peer.
+    Raise a ``CodedError`` when the core or the storage fails, so that a
+    process that can no longer decide does not look alive to its peers. In a
+    cluster, storage that cannot be used is retried, because this process also
+    forwards calls to the leader; it doesn't answer peers meanwhile.
     """
     own = _get_own_address(settings)
     while True:
@@ -389,7 +395,7 @@
         except StorageError as error:
             if settings.cluster is None or error.code not in _RETRYABLE_CODES:
                 raise
-            _log.warning('The disk is tried again: {}', error)
+            _log.warning('Storage is not usable, retrying: {}', error)
             await asyncio.sleep(_STORAGE_RETRY_DELAY_S)
 
 
@@ -420,5 +426,5 @@
             raise CoreFailedError(
                 'control.E003',
                 f'The core failed: {type(error).__name__}: {error}.',
-                'Report it with the log; the others go on.',
+                'Report it with the log; other processes keep running.',
             ) from error
--- a/src/sardinemast/shell/_control_stream.py
+++ b/src/sardinemast/shell/_control_stream.py
@@ -1,4 +1,4 @@
-"""An entry's stream to the leader, wherever that is."""
+"""Stream of an entry to the leader."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -31,7 +31,11 @@
 
 
 class ControlStream:
-    """Keep a stream to the leader, and pass on what it says."""
+    """Keep a stream to the leader and deliver its messages to the entry.
+
+    Control processes are tried in turn; one that does not lead names the
+    leader, which is tried next.
+    """
 
     def __init__(
         self,
@@ -49,12 +53,12 @@
         self._is_outage_logged = False
 
     def send(self, message: EntryMessage) -> None:
-        """Send a message, or drop it where there is no stream."""
+        """Send a message, or drop it while disconnected."""
         if self._outbox is not None:
             self._outbox.put(ENTRY_MESSAGES.pack(message))
 
     async def run(self) -> None:
-        """Hold the stream until cancelled."""
+        """Keep the stream open until cancelled."""
         while True:
             address = self._controls[0]
             try:
@@ -67,9 +71,9 @@
             await asyncio.sleep(_RECONNECT_DELAY_S)
 
     def _log_outage(self, address: ControlAddress, error: Exception) -> None:
-        # One line for each outage: it is tried again ten times a second.
+        # Warns once per outage, not at each attempt to reconnect.
         log = _log.debug if self._is_outage_logged else _log.warning
-        log('No stream to {}: {}.', address.name, error)
+        log('No stream to control process {}: {}.', address.name, error)
         self._is_outage_logged = True
 
     async def _run_stream(self, address: ControlAddress) -> None:
@@ -105,8 +109,8 @@
             self._put_event(entry.ControlReceived(message))
 
     def _prioritize_leader(self, leader: str) -> None:
-        # The list is turned by one after each stream, so the leader is put
-        # second to be first next time.
+        # ``run`` rotates the list by one after each stream, so the second
+        # process is connected to next.
         for one in self._controls[1:]:
             if one.name == leader:
                 self._controls.remove(one)
--- a/src/sardinemast/shell/_entry.py
+++ b/src/sardinemast/shell/_entry.py
@@ -1,4 +1,4 @@
-"""Shell of an entry process."""
+"""Entry process: connect the entry core to callers and upstreams."""
 
 import asyncio
 import time
@@ -42,7 +42,7 @@
 
 
 class EntryServer:
-    """Carry out what the core of an entry decides."""
+    """Feed the entry core with requests and execute its outputs."""
 
     def __init__(self, settings: ProcessSettings, identity: Identity) -> None:
         self.core = entry.EntryCore(
@@ -81,30 +81,30 @@
         self._keys = KeyClaims(self.peers, self._admit, self._answer)
 
     def is_ready(self) -> bool:
-        """Tell the balancer whether to send requests here."""
+        """Check whether the entry is ready to serve requests."""
         return not self._is_stopping and self.core.is_ready(time.monotonic())
 
     def is_stopping(self) -> bool:
-        """Tell whether callers should go elsewhere."""
+        """Check whether a planned stop has begun."""
         return self._is_stopping
 
     def start_stopping(self) -> None:
-        """Refuse new requests from now on."""
+        """Begin a planned stop: refuse new requests from now on."""
         self._is_stopping = True
 
     def is_busy(self) -> bool:
-        """Tell whether a caller waits for an answer, or for a part of it."""
+        """Check whether a request or the write of a response is pending."""
         return bool(
             self._responders or self._pending_writes or self._attempt_tasks
         )
 
     def track_write(self, written: asyncio.Future[None]) -> None:
-        """Note an answer that is not all on its way yet."""
+        """Track a response until it has been written completely."""
         self._pending_writes.add(written)
         written.add_done_callback(self._pending_writes.discard)
 
     def check_head(self, arrival: Arrival) -> Refusal | int:
-        """Give the limit of the body in bytes, or refuse by the head."""
+        """Return the body limit in bytes, or refuse based on the headers."""
         return self.core.check_head(arrival, time.monotonic())
 
     def handle_request(
@@ -113,7 +113,7 @@
         arrival: Arrival,
         respond: ResponseCallback,
     ) -> int:
-        """Run a caller's request, and give its id."""
+        """Start to process a request and return its id."""
         request_id = next(self._request_ids)
         self._requests[request_id] = request
         self._responders[request_id] = respond
@@ -132,7 +132,7 @@
         return request_id
 
     def discard_caller(self, request_id: int) -> None:
-        """Note that nobody waits for the answer any more."""
+        """Cancel a request whose caller has disconnected."""
         if self._responders.pop(request_id, None) is not None:
             self._requests.pop(request_id, None)
             self._arrivals.pop(request_id, None)
@@ -142,7 +142,7 @@
 
     @asynccontextmanager
     async def listen_for_peers(self, host: str) -> AsyncIterator[None]:
-        """Keep a port for other entries open."""
+        """Listen for other entries, and announce the address."""
         async with self.peers.listen(host) as address:
             self.control.own_address = address
             yield
@@ -249,8 +249,10 @@
         try:
             return await self.client.send(output, request)
         except Exception:
-            # Without an end the place of the request would be lost for good.
-            _log.exception('Request {} failed here.', output.request_id)
+            # Without an ended attempt, the request would hold its slot forever.
+            _log.exception(
+                'Sending request {} raised an exception.', output.request_id
+            )
             return Attempt(entry.AttemptResult.broken)
 
     async def _run_attempt(self, output: entry.StartAttempt) -> None:
@@ -265,22 +267,22 @@
 
 
 def refuse_while_stopping() -> Refusal:
-    """Refuse because this entry is about to stop."""
+    """Return the refusal of a request that arrives during a stop."""
     return refuse_not_run(
         'shell.E002',
         HTTPStatus.SERVICE_UNAVAILABLE,
-        'This entry stops. Try again; the balancer picks another.',
+        'This entry is stopping. Retry; the load balancer picks another.',
         _RETRY_AFTER_S,
     )
 
 
 async def run_entry(settings: ProcessSettings, identity: Identity) -> None:
-    """Run the role entry until cancelled; then finish what was taken."""
+    """Run an entry until cancelled, then finish accepted requests."""
     entry_server = EntryServer(settings, identity)
     async with entry_server.listen_for_peers(settings.callers.host):
         server = listen_for_callers(entry_server, settings.callers)
         serving = asyncio.create_task(_serve(entry_server))
-        _log.info('Entry {} listens.', settings.name)
+        _log.info('Entry {} is listening.', settings.name)
         try:
             await asyncio.shield(serving)
         except asyncio.CancelledError:
--- a/src/sardinemast/shell/_entry_peers.py
+++ b/src/sardinemast/shell/_entry_peers.py
@@ -1,4 +1,4 @@
-"""Streams between entries, over which they hold idempotency keys."""
+"""Streams between entries that replicate idempotency keys."""
 
 import asyncio
 import time
@@ -29,7 +29,7 @@
 
 
 class EntryPeers:
-    """Own the core of idempotency keys and the streams to other entries."""
+    """Run the idempotency core and keep streams to the other entries."""
 
     def __init__(self, identity: Identity, access: Access) -> None:
         own = idempotency.Member(identity.name, identity.incarnation)
@@ -47,12 +47,12 @@
         self._deciding: dict[int, Decide] = {}
 
     def holds_keys(self) -> bool:
-        """Tell whether another entry may stop without keys being refused."""
+        """Check whether this entry has received the keys of other holders."""
         return self._core.holds_keys(time.monotonic())
 
     @asynccontextmanager
     async def listen(self, host: str) -> AsyncIterator[Address]:
-        """Keep a port for other entries open, and give its address."""
+        """Listen for other entries, and yield the address."""
         async with serve(
             self._read,
             host,
@@ -71,12 +71,12 @@
         wanted: idempotency.ClaimRequested,
         decide: Decide,
     ) -> None:
-        """Ask whether a request may run."""
+        """Claim an idempotency key and report the decision to a callback."""
         self._deciding[wanted.request_id] = decide
         self.loop.put(wanted)
 
     def update_entries(self, entries: Iterable[EntryProcess]) -> None:
-        """Take the entries as the state has them."""
+        """Update the members and streams from the replicated state."""
         known = tuple(entries)
         epoch = max((one.log_index for one in known), default=0)
         if epoch <= self._epoch:
--- a/src/sardinemast/shell/_loop.py
+++ b/src/sardinemast/shell/_loop.py
@@ -1,4 +1,4 @@
-"""Owner of a core: one event at a time, outputs in order."""
+"""Event loop of a core: one event at a time, outputs in order."""
 
 import asyncio
 import time
@@ -13,14 +13,14 @@
 
 
 class CoreLoop(Generic[EventT, OutputT]):
-    """Feed a core from an inbox and carry out what it says.
+    """Feed events to a core and execute its outputs in order.
 
-    An event is taken at once where none is under way. A queue between two
-    tasks would cost each request two more turns of the event loop.
+    ``put`` processes an event synchronously unless another one is being
+    processed, which saves two iterations of the event loop per request.
 
-    An output that takes its time, as a write to the disk does, is given as a
-    future. Until it is done no other output is carried out and no event is
-    taken, so that nothing is said before it is safe; sockets go on.
+    ``execute`` returns a future for an output that completes later, such as
+    a write to disk. Until the future is done, no further output is executed
+    and no event is processed, so that nothing is sent before it is durable.
     """
 
     def __init__(
@@ -39,13 +39,13 @@
         self._failure: asyncio.Future[None] | None = None
 
     def put(self, event: EventT) -> None:
-        """Hand an event to the core."""
+        """Queue an event, and process it now unless the loop is blocked."""
         self._inbox.append(event)
         if self._is_running and not self._is_processing:
             self._process_inbox()
 
     async def run(self) -> None:
-        """Run until cancelled; an error of the core ends the process."""
+        """Run until cancelled, or raise the first error of the core."""
         self._failure = asyncio.get_running_loop().create_future()
         self._is_running = True
         tick_task = asyncio.create_task(self._tick_periodically())
@@ -57,7 +57,7 @@
 
     @property
     def is_blocked(self) -> bool:
-        """Tell whether the core's state is ahead of what is carried out."""
+        """Check whether outputs of the core still have to be executed."""
         return self._is_running and self._is_processing
 
     def _process_inbox(self) -> None:
@@ -93,16 +93,16 @@
             self._fail(error)
 
     def _fail(self, error: BaseException) -> None:
-        # Whoever put the event is not to blame and goes on; nothing is
-        # stepped any more, because outputs of the failed step are lost.
+        # The error is raised by ``run`` and not by ``put``. Processing stops
+        # because the remaining outputs of the failed step are lost.
         self._is_running = False
         if self._failure is not None and not self._failure.done():
             self._failure.set_exception(error)
 
     async def _tick_periodically(self) -> None:
         while True:
-            # Ticks that gathered behind a disk that hangs would all come at
-            # once, and say nothing that the first one does not.
+            # Ticks are skipped while the loop is blocked, or they would pile
+            # up behind a slow disk.
             if not self._is_processing:
                 self.put(self._make_tick())
             await asyncio.sleep(TICK_INTERVAL_S)
--- a/src/sardinemast/shell/_peer_senders.py
+++ b/src/sardinemast/shell/_peer_senders.py
@@ -1,4 +1,4 @@
-"""Streams of a control process to its peers."""
+"""Streams from a control process to its peers."""
 
 import asyncio
 
@@ -10,10 +10,10 @@
 
 
 class PeerSenders:
-    """Hold a stream to each peer, those that come later included.
+    """Keep a stream to each peer, including peers that join later.
 
-    In a cluster a replica is named by its host, so that one that joins is
-    reached without anybody being told its address.
+    In a cluster the name of a replica is its host, so the address of a peer
+    that joins follows from its name.
     """
 
     def __init__(
@@ -34,13 +34,13 @@
         self._tasks: asyncio.TaskGroup | None = None
 
     def start(self, tasks: asyncio.TaskGroup) -> None:
-        """Connect to the peers that the settings name."""
+        """Connect to the peers named in the settings."""
         self._tasks = tasks
         for name in self._addresses:
             self._get_sender(name)
 
     def send(self, output: SendMessage) -> None:
-        """Send a message to a peer, or drop it where none is reached."""
+        """Send a message to a peer, or drop it if its address is unknown."""
         sender = self._get_sender(output.to)
         if sender is not None:
             sender.send(pack_routed_message(output))
--- a/src/sardinemast/shell/_relay.py
+++ b/src/sardinemast/shell/_relay.py
@@ -1,4 +1,4 @@
-"""Calls to the leader, wherever that is."""
+"""Client for calls to the leader of the control processes."""
 
 import asyncio
 import time
@@ -36,18 +36,15 @@
 
 _log = Logger('relay')
 _STREAM_ERRORS = (*CONNECTION_ERRORS, WireError)
-# A leader beats five times a second; after three beats missed it is sought.
+# Three intervals of the leader's beats.
 _READ_TIMEOUT_S = 0.6
 _RECONNECT_DELAY_S = 0.05
-# A process that stands still takes a connection and says nothing on it. Asked
-# in turn with the others, it must not hold up the search for long; a
-# connection between data centres opens within some milliseconds.
+# Bounds the delay by a frozen process, whose system still accepts connections.
 _CONNECT_TIMEOUT_S = 0.25
-# A process that passes calls on and knows of no leader is left after this; it
-# may be cut off from those that elected one.
+# A forwarding process that reports no leader for so long may be partitioned
+# from the others, so the next one is tried.
 _LEADERLESS_TIMEOUT_S = 1.5
-# A caller waits so long for a leader that is not known, a quarter of the
-# shortest target of about 0.6 s, and is refused with nothing sent.
+# A call waits so long for a leader before it is refused unsent.
 _LEADER_WAIT_S = 0.15
 
 
@@ -57,10 +54,10 @@
 
 
 class CallRoute(StrEnum):
-    """How calls reach the leader.
+    """Select how calls reach the leader.
 
-    A control process holds a stream to the leader itself, an entry one to any
-    control process that passes its calls on.
+    A control process connects to the leader (``direct``). An entry connects
+    to any control process, which forwards its calls (``forwarded``).
     """
 
     direct = CALLS_PATH
@@ -68,11 +65,11 @@
 
 
 class LeaderRelay:
-    """Pass calls to the leader over one stream, and on to the next leader.
+    """Send calls to the leader over one stream, and follow leader changes.
 
-    Each call may be sent again: a job has one name, a catalog one version,
-    and a worker's word one sequence, so that a second arrival changes
-    nothing. What the old leader had not written is taken by the next one.
+    Pending calls are resent to the next leader. Calls are idempotent: a job
+    is identified by its name, a catalog by its version, and an announcement
+    of a worker by its sequence number.
     """
 
     def __init__(
@@ -93,7 +90,7 @@
         self._access = access
         self._founders = [one.name for one in founders]
         self._names = list(self._founders)
-        # All begin at once, and must not come to the same process.
+        # Spreads processes that start at the same time.
         (rng or Random()).shuffle(self._names)
         self._call_ids = count(1)
         self._pending: dict[int, _PendingCall] = {}
@@ -104,15 +101,15 @@
 
     @property
     def is_connected(self) -> bool:
-        """Tell whether a leader has been heard on the open stream."""
+        """Check whether a leader is known on the open stream."""
         return self._has_leader.is_set()
 
     def update_founders(self, founders: tuple[ControlAddress, ...]) -> None:
-        """Ask these control processes too, where none is known."""
+        """Replace the control processes to try besides those announced."""
         self._founders = [one.name for one in founders]
 
     async def call(self, call: Call, timeout_s: float) -> CallAnswer:
-        """Pass a call on and wait for the answer."""
+        """Send a call and wait for the answer."""
         due_s = time.monotonic() + timeout_s
         if not await self._wait_for_leader(min(timeout_s, _LEADER_WAIT_S)):
             return CallAnswer(CallOutcome.refused, text='No leader is known.')
@@ -131,7 +128,7 @@
             self._resent.discard(call_id)
 
     async def run(self) -> None:
-        """Hold the stream until cancelled."""
+        """Keep the stream open until cancelled."""
         while True:
             name = self._names[0]
             try:
@@ -156,9 +153,9 @@
             self._outbox.put(pack_call(pending.request))
 
     def _log_outage(self, name: str, error: Exception) -> None:
-        # One line for each outage: it is tried again many times a second.
+        # Warns once per outage, not at each attempt to reconnect.
         log = _log.debug if self._is_outage_logged else _log.warning
-        log('No leader at {}: {!r}.', name, error)
+        log('No leader reachable at {}: {!r}.', name, error)
         self._is_outage_logged = True
 
     def _rotate_names(self, name: str) -> None:
@@ -180,8 +177,8 @@
             try:
                 await self._receive_messages(websocket)
             except TimeoutError:
-                # A farewell to a silent leader would wait for its answer
-                # for a second, and callers with it.
+                # A closing handshake with an unresponsive process would
+                # delay the reconnection by the close timeout.
                 websocket.transport.abort()
                 raise
             finally:
@@ -207,13 +204,12 @@
                 self._handle_answer(message)
 
     def _handle_not_leader(self, message: NotLeader) -> bool:
-        """Note that there is no leader here; tell whether to go elsewhere."""
+        """Clear the leader; return whether to try another process."""
         if self._route is CallRoute.direct:
             self._prioritize_leader(message.leader)
             return True
-        # It will hear of the next leader soon. If each entry looked for that
-        # one among all control processes meanwhile, these would have no time
-        # left to elect it.
+        # The process will learn of the next leader soon. Reconnecting at once
+        # would load the control processes during their election.
         self._has_leader.clear()
         now_s = time.monotonic()
         if self._leaderless_since_s is None:
@@ -221,8 +217,8 @@
         return now_s >= self._leaderless_since_s + _LEADERLESS_TIMEOUT_S
 
     def _prioritize_leader(self, leader: str) -> None:
-        # The list is turned by one after each stream, so the leader is put
-        # second to be first next time.
+        # ``run`` rotates the list by one after each stream, so the second
+        # process is connected to next.
         if leader and leader != self._names[0]:
             rest = [one for one in self._names[1:] if one != leader]
             self._names = [self._names[0], leader, *rest]
@@ -252,12 +248,12 @@
             pending.answer.set_result(request.answer)
 
     def _is_inconclusive(self, request: PassAnswer) -> bool:
-        """Tell whether an answer does not say what became of the call."""
-        # A leader that ends cannot tell what the next one does; the call is
-        # sent to that one, and its answer tells.
+        """Check whether an answer leaves the outcome of the call open."""
+        # A leader that lost its term does not know the outcome. The call is
+        # resent to the next leader.
         if request.answer.outcome is CallOutcome.uncertain:
             return True
-        # Refused by a process that found no leader, the call may still run:
-        # another process may have passed it on before.
+        # After a resend, a refusal by one process does not exclude that
+        # another one has forwarded the call before.
         is_refused = request.answer.outcome is CallOutcome.refused
         return is_refused and request.call_id in self._resent
--- a/src/sardinemast/shell/_websockets.py
+++ b/src/sardinemast/shell/_websockets.py
@@ -1,4 +1,4 @@
-"""Streams between our processes: CBOR frames over websockets."""
+"""Streams between processes: CBOR frames over websockets."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Mapping
@@ -42,7 +42,7 @@
     access: Access,
     open_timeout_s: float = _PING_INTERVAL_S,
 ) -> AsyncIterator[ClientConnection]:
-    """Connect to another process."""
+    """Open a websocket to another process."""
     context = access.create_client_context()
     scheme = 'wss' if context else 'ws'
     url = f'{scheme}://{address.host}:{address.port}{path}'
@@ -65,26 +65,26 @@
     identity: Identity,
     access: Access,
 ) -> Envelope:
-    """Read a frame of a process that proved its name.
+    """Decode a frame and check the sender against its certificate.
 
-    Raises ``WireError`` for what is no frame, and ``wire.E006`` where the
-    sender's name is not that of the certificate.
+    Raise ``WireError`` for an invalid frame, with the code ``wire.E006`` if
+    the sender's name differs from the name in the certificate.
     """
     envelope = decode_frame(identity, frame)
     tls = websocket.transport.get_extra_info('ssl_object')
     if not access.is_allowed(tls, CertificateUnit.process, envelope.sender):
         raise WireError(
             'wire.E006',
-            f'The certificate is not that of {envelope.sender!r}.',
+            f'The certificate was not issued to {envelope.sender!r}.',
         )
     return envelope
 
 
 class PeerSender:
-    """Send messages to one peer, in order, over a stream that comes back.
+    """Send messages to one peer in order, and reconnect after errors.
 
-    Messages that find no stream are dropped: the log's protocol repeats what
-    matters, and old heartbeats would only delay new ones.
+    Messages are dropped while disconnected. The protocols above resend what
+    matters, and stale heartbeats would only delay new ones.
     """
 
     def __init__(
@@ -99,17 +99,17 @@
         self._outbox: asyncio.Queue[Any] = asyncio.Queue(_MAX_QUEUED_MESSAGES)
 
     def send(self, body: Any) -> None:
-        """Queue a message, or drop it where the queue is full."""
+        """Queue a message, or drop it if the queue is full."""
         if not self._outbox.full():
             self._outbox.put_nowait(body)
 
     async def run(self) -> None:
-        """Hold the stream until cancelled."""
+        """Keep the stream open until cancelled."""
         while True:
             try:
                 await self._send_queued()
             except CONNECTION_ERRORS as error:
-                _log.debug('Link to {} is down: {}.', self._address, error)
+                _log.debug('Stream to {} failed: {}.', self._address, error)
             self._discard_queued()
             await asyncio.sleep(_RECONNECT_DELAY_S)
 
@@ -127,7 +127,7 @@
 
 
 class Outbox:
-    """Send frames on a stream from a task of its own."""
+    """Queue messages for a stream and send them from a separate task."""
 
     def __init__(
         self,
@@ -143,7 +143,7 @@
         self._queue.put_nowait(body)
 
     async def run(self) -> None:
-        """Send until the stream ends."""
+        """Send queued messages until the stream ends."""
         while True:
             body = await self._queue.get()
             await self._send(encode_frame(self._identity, body))
--- a/src/sardinemast/shell/exceptions.py
+++ b/src/sardinemast/shell/exceptions.py
@@ -1,11 +1,11 @@
-"""Errors that end a role."""
+"""Errors that end the run of a process."""
 
 from sardinemast.exceptions import CodedError
 
 
 class CoreFailedError(CodedError):
-    """Report a core that cannot go on."""
+    """Report an unexpected exception in a core or in its outputs."""
 
 
 class FolderReplacedError(Exception):
-    """Start the role again with an empty folder."""
+    """Signal that the data folder was set aside and a restart is due."""
--- a/tests/processes/test_platform.py
+++ b/tests/processes/test_platform.py
@@ -153,7 +153,7 @@
         host = fleet.get_controls()[1]
         fleet.processes.limit_files(host, 1)
         fleet.wait_for(200, 'POST', _JOB, body=_make_chain())
-        fleet.processes.wait_for_log(host, 'The disk is tried again')
+        fleet.processes.wait_for_log(host, 'Storage is not usable, retrying')
         assert fleet.processes.is_running(host)
         fleet.wait_for(200, 'GET', '/config', host=host)
         fleet.processes.limit_files(host, resource.RLIM_INFINITY)
