--- a/src/sardinemast/shell/_base_handlers.py
+++ b/src/sardinemast/shell/_base_handlers.py
@@ -1,4 +1,4 @@
-"""Base of operators' handlers: who may ask, and whom."""
+"""Base classes of operators' handlers: authorization and leadership."""
 
 import time
 from http import HTTPStatus
@@ -11,21 +11,21 @@
 
 
 class HandlerService(Protocol):
-    """Say what a handler needs of the desk that it serves."""
+    """Define what a handler requires from its service."""
 
     core: control.ControlCore
     access: Access
 
 
 class OperatorHandler(RequestHandler):
-    """Serve whoever presents an operator's certificate."""
+    """Serve clients with an operator's certificate."""
 
     def initialize(self, service: Any) -> None:
-        """Take the desk that pairs requests with answers."""
+        """Store the service that submits requests to the core."""
         self.service = service
 
     def prepare(self) -> None:
-        """Refuse whoever is no operator."""
+        """Refuse clients that are not operators."""
         service: HandlerService = self.service
         connection: Any = self.request.connection
         if not service.access.is_allowed(
@@ -34,26 +34,26 @@
             self.refuse(
                 HTTPStatus.FORBIDDEN,
                 'control.E003',
-                "The certificate is not an operator's.",
+                "The certificate is not an operator's certificate.",
             )
 
     def refuse(self, status: HTTPStatus, code: str, text: str) -> None:
-        """Answer with a code, and with the leader to ask instead."""
+        """Respond with an error code and the name of the leader."""
         self.set_status(status)
         leader = self.service.core.replica.leader
         self.finish({'code': code, 'text': text, 'leader': leader})
 
 
 class LeaderHandler(OperatorHandler):
-    """Serve operators while this process leads."""
+    """Serve operators while this process is the leader."""
 
     def prepare(self) -> None:
-        """Refuse whoever is no operator, and name the leader otherwise."""
+        """Refuse unless the client is an operator and this is the leader."""
         super().prepare()
         service: HandlerService = self.service
         if not self._finished and not service.core.is_leader(time.monotonic()):
             self.refuse(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 'control.E001',
-                'This process does not lead.',
+                'This process is not the leader.',
             )
--- a/src/sardinemast/shell/_caller_exchange.py
+++ b/src/sardinemast/shell/_caller_exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller, from its head to the end of the answer."""
+"""Exchange with a caller, from the request head to the response."""
 
 import asyncio
 import math
@@ -38,16 +38,16 @@
 
 
 class CallerHandler(Protocol):
-    """Say what an exchange needs of the entry."""
+    """Define what an exchange requires from the entry."""
 
     def is_stopping(self) -> bool:
-        """Tell whether callers should go elsewhere."""
+        """Check whether a planned stop has begun."""
 
     def track_write(self, written: asyncio.Future[None]) -> None:
-        """Note an answer that is not all on its way yet."""
+        """Track a response until it has been written completely."""
 
     def check_head(self, arrival: Arrival) -> Refusal | int:
-        """Give the limit of the body in bytes, or refuse by the head."""
+        """Return the body limit in bytes, or refuse based on the headers."""
 
     def handle_request(
         self,
@@ -55,14 +55,14 @@
         arrival: Arrival,
         respond: ResponseCallback,
     ) -> int:
-        """Run a request, and give its id."""
+        """Start to process a request and return its id."""
 
     def discard_caller(self, request_id: int) -> None:
-        """Note that nobody waits for the answer any more."""
+        """Cancel a request whose caller has disconnected."""
 
 
 class CallerExchange(HTTPMessageDelegate):
-    """Read a request, refuse it as early as can be, and write the answer."""
+    """Read a request, refuse it as early as possible, write the response."""
 
     def __init__(
         self,
@@ -87,13 +87,13 @@
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> None:
-        """Take the head; refuse before the body where that is possible."""
+        """Check the head, and refuse before the body is read if possible."""
         if not isinstance(start_line, RequestStartLine):
             raise TypeError(start_line)
         self._start = start_line
         self._headers = headers
-        # What was read before the connection was closed is still parsed. A
-        # request hidden behind a refused one would run, with no answer.
+        # Tornado still parses data read before the close. A request that was
+        # pipelined behind a refused one must not run.
         if self._connection.stream.closed():
             self._has_responded = True
             return
@@ -110,7 +110,7 @@
             self._limit_bytes = checked
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a part of the body, up to the pool's limit."""
+        """Append to the body, up to the pool's limit."""
         self._body_bytes += len(chunk)
         if self._has_responded:
             if self._body_bytes > _MAX_DISCARDED_BYTES:
@@ -122,7 +122,7 @@
             self._body_chunks.append(chunk)
 
     def finish(self) -> None:
-        """Hand the whole request over."""
+        """Submit the complete request."""
         if self._has_responded:
             self._connection.close()
             return
@@ -146,7 +146,7 @@
             self._request_id = request_id
 
     def on_connection_close(self) -> None:
-        """Note that the caller has left."""
+        """Cancel the request after the caller has disconnected."""
         self._has_responded = True
         if self._request_id is not None:
             self._handler.discard_caller(self._request_id)
@@ -203,11 +203,12 @@
         connection = self._connection
         start_line = ResponseStartLine('HTTP/1.1', code, reason)
         written = connection.write_headers(start_line, headers, body)
-        # Who asked before sending has sent nothing, and must not be invited.
+        # With ``Expect``, the caller has not sent its body yet, and ``finish``
+        # keeps Tornado from asking for it with a 100 response.
         if not self._is_complete and 'Expect' not in self._headers:
-            # A connection that is closed with bytes unread is reset, and a
-            # caller in the middle of its upload would not see the answer.
-            # What comes is dropped for a while instead.
+            # Closing with unread data resets the connection, and the caller
+            # could miss the response. The rest of the upload is discarded for
+            # a while instead.
             _close_later(connection, _DISCARD_TIMEOUT_S)
             return
         connection.finish()
@@ -222,12 +223,12 @@
 ) -> None:
     def give_up() -> None:
         connection.close()
-        # The library forgets the future as it closes. Whoever waits for it,
-        # as a planned stop does, would wait for good.
+        # Tornado does not resolve the future when it closes the connection,
+        # and a planned stop would wait for it forever.
         if not written.done():
             written.set_result(None)
 
-    # A caller that takes nothing would hold its answer in memory for good.
+    # Frees the response of a caller that does not read it.
     loop = asyncio.get_running_loop()
     timer = loop.call_later(_WRITE_TIMEOUT_S, give_up)
     written.add_done_callback(lambda _: timer.cancel())
--- a/src/sardinemast/shell/_caller_http.py
+++ b/src/sardinemast/shell/_caller_http.py
@@ -1,4 +1,4 @@
-"""Callers' and upstreams' HTTP at an entry."""
+"""HTTP server of an entry for callers and upstreams."""
 
 import json
 from http import HTTPStatus
@@ -60,25 +60,25 @@
     metrics: EntryMetrics
 
     def is_ready(self) -> bool:
-        """Tell whether the entry may serve."""
+        """Check whether the entry is ready to serve requests."""
 
     def holds_keys(self) -> bool:
-        """Tell whether the entry votes on idempotency keys."""
+        """Check whether the entry has received the keys of other holders."""
 
 
 class _InternalHandler(RequestHandler):
-    """Serve a page of the entry itself."""
+    """Base class for the endpoints of the entry itself."""
 
     def initialize(self, entry_server: _EntryServer) -> None:
-        """Take the entry's shell."""
+        """Store the entry that is served."""
         self._entry_server = entry_server
 
 
 class AnnounceHandler(_InternalHandler):
-    """Take an upstream's announcement."""
+    """Accept announcements of upstreams."""
 
     def post(self) -> None:
-        """Pass the announcement on."""
+        """Validate an announcement and deliver it to the core."""
         try:
             announcement = _read_announcement(self.request.body)
         except _ANNOUNCEMENT_ERRORS:
@@ -86,9 +86,9 @@
             self.finish(
                 {
                     'code': 'membership.E001',
-                    'text': 'Send a JSON map with the fields '
+                    'text': 'Send a JSON object with the fields '
                     f'{", ".join(Announcement._fields)}; host is an IP '
-                    'address, incarnation and port are whole numbers.',
+                    'address, incarnation and port are integers.',
                 },
             )
             return
@@ -97,33 +97,33 @@
 
 
 class MetricsHandler(_InternalHandler):
-    """Show what this entry measures, for the usual collectors."""
+    """Serve the metrics of this entry in the Prometheus format."""
 
     def get(self) -> None:
-        """Give all metrics as text."""
+        """Return all metrics as text."""
         is_ready = self._entry_server.is_ready()
         self.set_header('Content-Type', CONTENT_TYPE_LATEST)
         self.finish(self._entry_server.metrics.render(is_ready=is_ready))
 
 
 class LatenciesHandler(_InternalHandler):
-    """Show histograms that can be merged with those of other entries."""
+    """Serve latency histograms that can be merged across entries."""
 
     def get(self) -> None:
-        """Give the encoded histograms."""
+        """Return the encoded histograms."""
         self.finish(
             {'latencies': self._entry_server.metrics.encode_latencies()}
         )
 
 
 class HealthHandler(_InternalHandler):
-    """Tell the balancer whether to send requests here."""
+    """Serve the health check of the load balancer."""
 
     def get(self) -> None:
-        """Answer 200 with a lease and 503 without.
+        """Return 200 if the entry is ready to serve, else 503.
 
-        An entry that does not hold keys yet serves all the same: the other
-        holders are enough. Only one more that stops then would be missed.
+        ``holds_keys`` does not affect the status, because the other holders
+        suffice. While it is false, no further entry should be stopped.
         """
         is_ready = self._entry_server.is_ready()
         if not is_ready:
@@ -137,10 +137,10 @@
 
 
 class _CallerDelegate(HTTPServerConnectionDelegate):
-    """Give each request to the entry's own pages or to the way upstream.
+    """Route requests to the entry's endpoints or to upstreams.
 
-    The framework's handlers would cost a request more than all decisions
-    about it; docs/design/upstream-client.md has the figures.
+    Requests for upstreams bypass Tornado's request handlers to reduce their
+    cost; see docs/design/upstream-client.md.
     """
 
     def __init__(
@@ -154,7 +154,7 @@
         server_conn: object,
         request_conn: HTTPConnection,
     ) -> HTTPMessageDelegate:
-        """Take the next request of a connection."""
+        """Create the delegate for the next request of a connection."""
         return _RoutingDelegate(
             self._entry_server, self._application, server_conn, request_conn
         )
@@ -214,7 +214,7 @@
 
 
 class _CallerIOStream(IOStream):
-    """Give the framework's bare answer to a malformed request a body."""
+    """Replace Tornado's bare 400 response by one with a refusal."""
 
     def write(self, data: bytes | memoryview) -> Any:
         if data == _TORNADO_BAD_REQUEST:
@@ -235,7 +235,7 @@
 def listen_for_callers(
     entry_server: _EntryServer, address: Address
 ) -> HTTPServer:
-    """Open the callers' port."""
+    """Start the HTTP server for callers and upstreams."""
     options = {'entry_server': entry_server}
     application = Application(
         [
@@ -254,7 +254,7 @@
     server = _CallerHttpServer(
         _CallerDelegate(entry_server, application),
         max_header_size=MAX_HEAD_BYTES,
-        # Each pool's own limit holds instead; see CallerExchange.
+        # CallerExchange enforces the limit of each pool.
         max_body_size=_MAX_BODY_BYTES,
         idle_connection_timeout=_IDLE_TIMEOUT_S,
         body_timeout=_BODY_TIMEOUT_S,
@@ -277,4 +277,4 @@
 
 
 def _log_nothing(handler: RequestHandler) -> None:
-    """Leave the access log to the time line."""
+    """Disable Tornado's access log; the timeline records requests."""
--- a/src/sardinemast/shell/_connection_pool.py
+++ b/src/sardinemast/shell/_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams, kept only while they show life."""
+"""Pools of connections to upstreams, reused only while recently active."""
 
 import time
 from collections import deque
@@ -10,7 +10,7 @@
 
 
 class ConnectionPool:
-    """Hold the connections to one incarnation of one upstream."""
+    """Hold the connections to one incarnation of an upstream."""
 
     def __init__(self, upstream: Announcement) -> None:
         self.upstream = upstream
@@ -20,7 +20,7 @@
         self._is_closed = False
 
     def matches(self, upstream: Announcement) -> bool:
-        """Tell whether the connections lead to this start of the upstream."""
+        """Check whether the pool is for this incarnation and address."""
         current = self.upstream
         return (current.incarnation, current.host, current.port) == (
             upstream.incarnation,
@@ -29,10 +29,10 @@
         )
 
     def take_idle(self) -> HttpConnection | None:
-        """Give the connection that showed life last, if that was lately.
+        """Return the most recently used idle connection, if still fresh.
 
-        What lies between may have lost track of an older one; a request
-        sent on it would wait for its deadline and end as unknown.
+        A firewall or NAT may have dropped an older one; a request sent on it
+        would wait until its deadline and end with an unknown outcome.
         """
         self.drop_stale(time.monotonic())
         while self._idle:
@@ -44,9 +44,11 @@
         return None
 
     async def open(self, limit: int) -> HttpConnection:
-        """Connect anew, or raise ``OSError``."""
+        """Open a connection, or raise ``OSError``."""
         if len(self._open) + self._opening >= limit:
-            raise ConnectionError('All connections are in use.')
+            raise ConnectionError(
+                'The connection limit of the upstream is reached.'
+            )
         self._opening += 1
         try:
             connection = await HttpConnection.connect(
@@ -59,7 +61,7 @@
         return connection
 
     def release(self, connection: HttpConnection) -> None:
-        """Keep a connection whose exchange is over, if it may be kept."""
+        """Return a connection to the pool, or close it if not reusable."""
         if self._is_closed or not connection.may_reuse:
             self.drop(connection)
             return
@@ -67,21 +69,21 @@
         self._idle.append(connection)
 
     def drop(self, connection: HttpConnection) -> None:
-        """Close a connection."""
+        """Close a connection and remove it from the pool."""
         self._open.discard(connection)
         connection.close()
 
     def drop_idle(self) -> None:
-        """Close all connections without an exchange."""
+        """Close all idle connections."""
         while self._idle:
             self.drop(self._idle.pop())
 
     def drop_stale(self, now_s: float) -> None:
-        """Close what has shown no life for long."""
+        """Close connections that have been idle for too long."""
         while self._idle and self._idle[0].idle_since_s < now_s - MAX_IDLE_S:
             self.drop(self._idle.popleft())
 
     def close(self) -> None:
-        """Close what is idle, and the rest as its exchanges end."""
+        """Close idle connections now and the others when released."""
         self._is_closed = True
         self.drop_idle()
--- a/src/sardinemast/shell/_drain.py
+++ b/src/sardinemast/shell/_drain.py
@@ -1,4 +1,4 @@
-"""Planned stop of an entry: finish what was taken, then leave."""
+"""Planned stop of an entry: finish accepted requests, then close."""
 
 import asyncio
 import time
@@ -12,28 +12,28 @@
 
 _log = Logger('entry')
 _POLL_S = 0.02
-# For this long the balancer can see that the entry is not ready, and callers
-# are told to go elsewhere, before connections are closed under them.
+# Lets the load balancer notice that the entry is not ready while the port is
+# still open.
 _LINGER_S = 0.5
 _DRAIN_TIMEOUT_S = 60.0
 _RETURN_TIMEOUT_S = 2.0
 
 
 class Drainable(Protocol):
-    """Say what a planned stop needs of the entry."""
+    """Define what a planned stop requires from the entry."""
 
     core: EntryCore
 
     def start_stopping(self) -> None:
-        """Refuse new requests from now on."""
+        """Begin a planned stop: refuse new requests from now on."""
 
     def is_busy(self) -> bool:
-        """Tell whether a caller waits for an answer, or for a part of it."""
+        """Check whether a request or the write of a response is pending."""
 
 
 async def drain(entry_server: Drainable, server: HTTPServer) -> None:
-    """Finish all requests, give back the grants, and close the port."""
-    _log.info('Entry stops.')
+    """Finish pending requests, return the grants and close the port."""
+    _log.info('Entry is stopping.')
     entry_server.start_stopping()
     await asyncio.sleep(_LINGER_S)
     await _wait_while(entry_server.is_busy, _DRAIN_TIMEOUT_S)
--- a/src/sardinemast/shell/_entry.py
+++ b/src/sardinemast/shell/_entry.py
@@ -233,8 +233,8 @@
         self.control.send(output.message)
 
     def _answer(self, request_id: int, response: CallerResponse) -> None:
-        self._keys.record_answer(request_id, response)
-        self.metrics.record_answer(request_id, response)
+        self._keys.record_response(request_id, response)
+        self.metrics.record_response(request_id, response)
         self._arrivals.pop(request_id, None)
         self._requests.pop(request_id, None)
         respond = self._responders.pop(request_id, None)
--- a/src/sardinemast/shell/_entry_metrics.py
+++ b/src/sardinemast/shell/_entry_metrics.py
@@ -1,4 +1,4 @@
-"""What an entry measures of its callers' requests."""
+"""Metrics of the requests at an entry."""
 
 import time
 from collections import Counter
@@ -19,7 +19,7 @@
 
 
 class EntryMetrics:
-    """Count final answers by code, and latencies of upstreams' answers."""
+    """Count responses by code and record latencies of upstreams."""
 
     def __init__(self) -> None:
         self._latencies = LatencyHistograms()
@@ -27,20 +27,22 @@
         self._requests: dict[int, _OpenRequest] = {}
 
     def record_arrival(self, request_id: int, team: str, pool: str) -> None:
-        """Note a request of a team that is known by its key."""
+        """Record a request and the team of its key."""
         self._requests[request_id] = _OpenRequest(team, pool, time.monotonic())
 
     def record_attempt(self, request_id: int, upstream: str) -> None:
-        """Note the upstream that a request is sent to."""
+        """Record the upstream of an attempt."""
         request = self._requests.get(request_id)
         if request is not None:
             self._requests[request_id] = request._replace(upstream=upstream)
 
-    def record_answer(self, request_id: int, answer: CallerResponse) -> None:
-        """Count a final answer."""
+    def record_response(
+        self, request_id: int, response: CallerResponse
+    ) -> None:
+        """Count a response, and record its latency if it is not a refusal."""
         request = self._requests.pop(request_id, None)
-        if isinstance(answer, Refusal):
-            self._counts[answer.code] += 1
+        if isinstance(response, Refusal):
+            self._counts[response.code] += 1
             return
         self._counts[_ANSWERED] += 1
         if request is not None:
@@ -52,11 +54,11 @@
             self._latencies.record(names, time.monotonic() - request.started_s)
 
     def discard(self, request_id: int) -> None:
-        """Forget a request whose caller has left."""
+        """Discard a request whose caller has disconnected."""
         self._requests.pop(request_id, None)
 
     def render(self, *, is_ready: bool) -> bytes:
-        """Give all metrics in the usual text format."""
+        """Return all metrics in the Prometheus text format."""
         gauges = {
             'requests_open': len(self._requests),
             'entry_ready': int(is_ready),
@@ -64,5 +66,5 @@
         return render_metrics(self._latencies, self._counts, gauges)
 
     def encode_latencies(self) -> dict[str, dict[str, str]]:
-        """Give the histograms, to be merged with other entries'."""
+        """Return the encoded latency histograms."""
         return self._latencies.encode()
--- a/src/sardinemast/shell/_gateway.py
+++ b/src/sardinemast/shell/_gateway.py
@@ -1,4 +1,4 @@
-"""Way from the leader's orders to the workers."""
+"""Interface through which the leader sends orders to workers."""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
@@ -10,11 +10,11 @@
 
 
 class WorkerGateway(Protocol):
-    """Carry orders to workers and to whoever runs the instances.
+    """Send orders to workers and to the service that manages instances.
 
-    ``send`` returns at once. It hands the answer to ``put_event`` later, also
-    where there is none, and writes nothing once ``valid_until_s`` has passed
-    on the monotonic clock.
+    ``send`` returns immediately. The outcome is passed to ``put_event`` later,
+    also if there is no answer. Nothing is sent once the monotonic clock has
+    passed ``valid_until_s``.
     """
 
     def send(
@@ -27,7 +27,7 @@
 
 
 class NoWorkers:
-    """Answer for a fleet without workers that nothing was sent."""
+    """Report each order as not sent, for a fleet without workers."""
 
     def send(
         self,
@@ -35,16 +35,16 @@
         valid_until_s: float,
         put_event: Callable[[ControlEvent], None],
     ) -> None:
-        """Send nothing."""
+        """Report that the order was not sent."""
         unsent = make_not_sent_event(order)
         if unsent is not None:
             put_event(unsent)
 
 
 class ControlExtras(NamedTuple):
-    """Hold what a control process is given besides its settings.
+    """Hold optional parts of a control process.
 
-    With a ``relay`` to the leader it also passes calls of entries on.
+    With a ``relay`` to the leader, it also forwards calls from entries.
     """
 
     gateway: WorkerGateway = NoWorkers()
--- a/src/sardinemast/shell/_headers.py
+++ b/src/sardinemast/shell/_headers.py
@@ -1,4 +1,4 @@
-"""Headers that may pass an entry, and those that may not."""
+"""Filters for headers that are forwarded by an entry."""
 
 from tornado.httputil import HTTPHeaders
 
@@ -23,8 +23,8 @@
         'upgrade',
     ),
 )
-# Written anew for each hop, from what really follows. ``Expect`` is answered
-# by this entry; ``Authorization`` holds the caller's key.
+# Set by the entry for the upstream, or meant for the entry: it answers
+# ``Expect`` itself, and ``Authorization`` holds the caller's key.
 _NOT_COPIED = frozenset(('host', 'content-length', 'expect', 'authorization'))
 _NOT_FORWARDED = _HOP_BY_HOP | _NOT_COPIED
 
@@ -33,7 +33,7 @@
     headers: HTTPHeaders,
     remote_ip: str,
 ) -> HTTPHeaders:
-    """Give the headers for an upstream, without the caller's key."""
+    """Return the headers for an upstream, without the caller's key."""
     filtered = _filter(headers, _NOT_FORWARDED)
     forwarded_for = filtered.get(_FORWARDED_FOR)
     filtered[_FORWARDED_FOR] = (
@@ -46,18 +46,17 @@
 
 
 def filter_response_headers(headers: HTTPHeaders) -> HTTPHeaders:
-    """Give the headers for a caller.
+    """Return the headers for a caller.
 
-    An upstream that sent ``Sardinemast-Outcome`` could otherwise speak for
-    the entry and call a request "not run" that it has run.
+    ``Sardinemast-Outcome`` is removed, since only the entry may report a
+    request as "not run".
     """
     return _filter(headers, _HOP_BY_HOP)
 
 
 def _filter(headers: HTTPHeaders, dropped: frozenset[str]) -> HTTPHeaders:
     connection_header = headers.get('Connection', '').lower()
-    # What Connection names belongs to the hop too (RFC 9110, 7.6.1); passed
-    # on, it could switch the next hop in a way that nobody here has checked.
+    # Headers listed in ``Connection`` are hop-by-hop (RFC 9110, 7.6.1).
     hop_headers = (
         {name.strip() for name in connection_header.split(',')}
         if connection_header
@@ -73,7 +72,7 @@
         if name in filtered:
             filtered.add(name, header)
         else:
-            # The parser has checked the value; checking it again would cost
-            # as much as the rest of this function.
+            # Skips the validation in ``add``; the parser has validated the
+            # value.
             filtered[name] = header
     return filtered
--- a/src/sardinemast/shell/_http_connection.py
+++ b/src/sardinemast/shell/_http_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream, with one exchange at a time."""
+"""HTTP/1.1 connection to an upstream, with one exchange at a time."""
 
 import asyncio
 import socket
@@ -16,7 +16,7 @@
 MAX_HEAD_BYTES = 32768
 _TCP_USER_TIMEOUT_MS = 2000
 _FIRST_FINAL_CODE = 200
-# An upstream that goes on sending heads before the final one never answers.
+# Bounds interim (1xx) responses before the final one.
 _MAX_HEADS = 10
 BODYLESS_CODES = frozenset((204, 304))
 _KEEP_ALIVE_VERSION = '1.1'
@@ -26,14 +26,14 @@
 
 
 class RawRequest(NamedTuple):
-    """Hold a whole request as bytes; the answer to HEAD has no body."""
+    """Hold an encoded request; a response to HEAD has no body."""
 
     encoded: bytes
     is_head: bool = False
 
 
 class RawResponse(NamedTuple):
-    """Hold a whole answer."""
+    """Hold a complete response."""
 
     code: int
     reason: str
@@ -42,11 +42,10 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """Write one request after the other, and collect each whole answer.
+    """Send requests one after the other and collect each complete response.
 
-    Bytes or an end that come while nothing was asked belong to no request.
-    The next caller would get them as its own answer, so that the connection
-    is not used again.
+    A connection that receives data or is closed while no request is pending
+    is not reused: the next caller could get the response to another request.
     """
 
     def __init__(self) -> None:
@@ -63,7 +62,7 @@
 
     @classmethod
     async def connect(cls, host: str, port: int) -> Self:
-        """Connect, or raise ``OSError``."""
+        """Open a connection, or raise ``OSError``."""
         loop = asyncio.get_running_loop()
         new_socket = _make_socket()
         connection = cls()
@@ -78,15 +77,15 @@
 
     @property
     def may_reuse(self) -> bool:
-        """Tell whether the connection may carry another exchange."""
+        """Check whether the connection may be used for another exchange."""
         return self._may_reuse and self._response_future is None
 
     def has_no_pending_input(self) -> bool:
-        """Tell whether nothing has come, neither a byte nor the end."""
+        """Check whether neither data nor a close has arrived."""
         if not self._may_reuse or self._socket is None:
             return False
         try:
-            # What has come may not have been read by the event loop yet.
+            # Data may have arrived that the event loop has not read yet.
             self._socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
             return True
@@ -95,7 +94,7 @@
         return False
 
     def send(self, request: RawRequest) -> asyncio.Future[RawResponse | None]:
-        """Write a request; what is given has no answer where it broke off."""
+        """Send a request; the result is ``None`` if the exchange fails."""
         response_future = asyncio.get_running_loop().create_future()
         if self._transport is None or self._transport.is_closing():
             response_future.set_result(None)
@@ -108,7 +107,7 @@
         return response_future
 
     def time_out(self) -> None:
-        """End an exchange that has taken too long with ``TimeoutError``."""
+        """Fail the pending exchange with ``TimeoutError``."""
         if (
             self._response_future is not None
             and not self._response_future.done()
@@ -117,25 +116,25 @@
         self._may_reuse = False
 
     def close(self) -> None:
-        """Close at once; an exchange that is under way breaks off."""
+        """Close immediately; a pending exchange fails."""
         self._may_reuse = False
         if self._transport is not None:
             self._transport.abort()
         self._resolve(None)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note that nothing more can come."""
+        """Fail a pending exchange and prevent reuse."""
         self._may_reuse = False
         self._socket = None
         self._resolve(None)
 
     def data_received(self, chunk: bytes) -> None:
-        """Parse what has come."""
+        """Parse received data."""
         if self._response_future is None:
             self.close()
             return
@@ -147,50 +146,51 @@
             self.close()
             raise
         except (HttpParserError, HttpParserUpgrade):
-            # No answer; behind a whole one it spoils the connection alone.
+            # A response that is already complete has been delivered and stays
+            # valid; otherwise the exchange fails.
             self.close()
         if self._unparsed_bytes > MAX_HEAD_BYTES and not self._has_head:
             self.close()
 
     def on_message_begin(self) -> None:
-        """Begin an answer; one that nobody asked for spoils the rest."""
+        """Begin a response; close the connection if none is expected."""
         self._head_count += 1
         self._reset_response()
         if self._response_future is None or self._head_count > _MAX_HEADS:
             self.close()
 
     def on_status(self, reason: bytes) -> None:
-        """Take a part of the reason."""
+        """Append to the reason phrase."""
         self._reason += reason
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Take a header."""
+        """Append a header, up to the size limit."""
         self._headers.append((name.decode(_ENCODING), text.decode(_ENCODING)))
         self._head_bytes += len(name) + len(text)
         if self._head_bytes > MAX_HEAD_BYTES:
             self.close()
 
     def on_headers_complete(self) -> None:
-        """Check that the answer says where it ends."""
+        """Check that the response declares where its body ends."""
         self._code = self._parser.get_status_code()
         if self._code < _FIRST_FINAL_CODE:
             return
         self._has_head = True
         if self._is_head:
-            # The parser would wait for a body that does not come.
+            # The parser would wait for a body that HEAD does not have.
             self._may_reuse = False
             self._complete_response()
         elif not self._has_valid_framing():
             self.close()
 
     def on_body(self, chunk: bytes) -> None:
-        """Take a part of the body."""
+        """Append to the body, up to the size limit."""
         self._body += chunk
         if len(self._body) > MAX_RESPONSE_BYTES:
             self.close()
 
     def on_message_complete(self) -> None:
-        """Hand the answer over, if it is the final one."""
+        """Complete the exchange if the response is the final one."""
         if self._code < _FIRST_FINAL_CODE or self._is_head:
             return
         is_keep_alive = self._parser.should_keep_alive()
@@ -211,7 +211,8 @@
         self._unparsed_bytes = 0
 
     def _has_valid_framing(self) -> bool:
-        # A body that ends with the connection looks whole when it is cut.
+        # A body that is delimited by the close of the connection is rejected:
+        # truncation could not be detected.
         if self._code in BODYLESS_CODES:
             return True
         headers = {name.lower(): text for name, text in self._headers}
@@ -222,8 +223,8 @@
         return False
 
     def _complete_response(self) -> None:
-        # An answer to a request that is still on its way is no answer to the
-        # whole of it: it may belong to an exchange before, or to a part.
+        # A response before the request has been sent completely may belong to
+        # an earlier exchange or answer a part of the request only.
         if self._transport is None or self._transport.get_write_buffer_size():
             self.close()
             return
@@ -246,8 +247,8 @@
 def _make_socket() -> socket.socket:
     new_socket = socket.socket()
     new_socket.setblocking(False)
-    # Packets that a broken path swallows are never acknowledged. The system
-    # then ends the connection, also while the upstream works on.
+    # Closes a connection whose data is not acknowledged, as after the loss of
+    # the network path.
     new_socket.setsockopt(
         socket.IPPROTO_TCP,
         socket.TCP_USER_TIMEOUT,
--- a/src/sardinemast/shell/_idempotent_requests.py
+++ b/src/sardinemast/shell/_idempotent_requests.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key: what is claimed, and what is answered."""
+"""Idempotency keys of requests, and responses to duplicates."""
 
 import hashlib
 from http import HTTPStatus
@@ -27,7 +27,7 @@
 
 
 def parse_key(headers: HTTPHeaders, name: str) -> str | Refusal | None:
-    """Give the key of a request, nothing without one, or refuse it."""
+    """Return the key of a request, ``None`` without one, or refuse it."""
     found = headers.get_list(name)
     if not found:
         return None
@@ -37,12 +37,12 @@
     return refuse_not_run(
         'idempotency.E001',
         HTTPStatus.BAD_REQUEST,
-        f'Send one {name} of 1 to {_MAX_KEY_LENGTH} ASCII characters.',
+        f'Send one {name} header of 1 to {_MAX_KEY_LENGTH} ASCII characters.',
     )
 
 
 def digest_parts(*parts: str | bytes) -> bytes:
-    """Give a digest that no other parts have."""
+    """Return a digest of length-prefixed parts."""
     digest = hashlib.sha256()
     for part in parts:
         encoded = part.encode() if isinstance(part, str) else part
@@ -51,15 +51,15 @@
 
 
 def digest_request(request: CallerRequest) -> bytes:
-    """Give the digest of what a request asks for."""
+    """Return the digest of method, URI and body."""
     return digest_parts(request.method, request.uri, request.body)
 
 
 def cap_deadline(requested_s: float | None, default_s: float) -> float:
-    """Give the time left, so that a request ends before its key is forgotten.
+    """Return the time left, bounded so that the request ends before its key.
 
-    Holders forget a claim some minutes after it. If the request still ran
-    then, a resend would run beside it.
+    Holders discard a claim some minutes after it. A request that still ran
+    then could run a second time at a resend.
     """
     remaining_s = default_s if requested_s is None else requested_s
     return min(remaining_s, _MAX_DEADLINE_S)
@@ -67,27 +67,28 @@
 
 def make_request_ended(
     request_id: int,
-    answer: UpstreamResponse | Refusal,
+    response: UpstreamResponse | Refusal,
 ) -> RequestEnded:
-    """Give what holders of the key should know of an answer."""
-    if isinstance(answer, UpstreamResponse):
+    """Make the event that tells the holders of the key about the outcome."""
+    if isinstance(response, UpstreamResponse):
         stored = StoredAnswer(
-            answer.code,
-            answer.reason,
-            tuple(answer.headers.get_all()),
-            answer.body,
+            response.code,
+            response.reason,
+            tuple(response.headers.get_all()),
+            response.body,
         )
         return RequestEnded(request_id, ClaimOutcome.answered, stored)
-    if answer.outcome is RunOutcome.not_run:
+    if response.outcome is RunOutcome.not_run:
         return RequestEnded(request_id, ClaimOutcome.released)
     return RequestEnded(request_id, ClaimOutcome.unknown)
 
 
 def answer_duplicate(decided: ClaimDecided) -> UpstreamResponse | Refusal:
-    """Give the answer to a request that may not run.
+    """Return the response to a request whose key was not granted.
 
-    All but the mismatch say "unknown": an earlier request with the key may
-    have run, and a caller that reads "not run" would send it under a new one.
+    All refusals but the mismatch have the outcome "unknown": an earlier
+    request with the key may have run, and after "not run" a caller could
+    resend it with a new key.
     """
     if decided.answer is not None:
         return _replay(decided.answer)
@@ -95,30 +96,30 @@
         return refuse_not_run(
             'idempotency.E002',
             HTTPStatus.UNPROCESSABLE_ENTITY,
-            'This key stands for another request. Send a new key.',
+            'The key was used for a different request. Use a new key.',
         )
     if decided.verdict is ClaimVerdict.in_progress:
         return refuse_unknown(
             'idempotency.E003',
             HTTPStatus.CONFLICT,
-            'A request with this key is running. Send it again later.',
+            'A request with this key is running. Retry later.',
         )._replace(retry_after_s=_RETRY_AFTER_S)
     if decided.verdict is ClaimVerdict.unavailable:
         return refuse_unknown(
             'idempotency.E004',
             HTTPStatus.SERVICE_UNAVAILABLE,
-            'The key cannot be checked now. Send it again later.',
+            'The key cannot be checked at the moment. Retry later.',
         )._replace(retry_after_s=_RETRY_AFTER_S)
     if decided.verdict is ClaimVerdict.answered:
         return refuse_unknown(
             'idempotency.E005',
             HTTPStatus.CONFLICT,
-            'This has run, and its answer is not kept. Ask for the result.',
+            'The request has run; its response is not stored. Query the result.',
         )
     return refuse_unknown(
         'idempotency.E006',
         HTTPStatus.CONFLICT,
-        'A request with this key may have run. Ask for the result.',
+        'A request with this key may have run. Query the result.',
     )
 
 
--- a/src/sardinemast/shell/_identity.py
+++ b/src/sardinemast/shell/_identity.py
@@ -1,4 +1,4 @@
-"""What a running process is called, and its clocks."""
+"""Identity and clocks of a running process, and framing of messages."""
 
 import time
 from typing import Any, NamedTuple
@@ -15,7 +15,7 @@
 
 
 class Identity(NamedTuple):
-    """Name a process and one start of it."""
+    """Identify one start of a process, and hold its event recorder."""
 
     name: str
     incarnation: int
@@ -23,19 +23,19 @@
 
 
 def get_wall_ms() -> int:
-    """Give the wall clock in milliseconds."""
+    """Return the wall clock time in milliseconds."""
     return time.time_ns() // _NS_PER_MS
 
 
 def create_identity(name: str) -> Identity:
-    """Make the identity of a process that starts now."""
+    """Create the identity of a process that starts now."""
     incarnation = get_wall_ms()
     recorder = Recorder(name, incarnation, HybridClock(get_wall_ms))
     return Identity(name, incarnation, recorder)
 
 
 def encode_frame(identity: Identity, body: Any) -> bytes:
-    """Put a body into a frame of this process."""
+    """Encode a message with the name and clock of this process."""
     stamp = identity.recorder.clock.stamp()
     return encode_envelope(
         Envelope(
@@ -52,7 +52,7 @@
 
 
 def decode_frame(identity: Identity, frame: Any) -> Envelope:
-    """Read a frame, or raise ``WireError``; later events follow it."""
+    """Decode a frame and advance the clock, or raise ``WireError``."""
     envelope = decode_envelope(frame if isinstance(frame, bytes) else b'')
     stamp = Stamp(envelope.wall_ms, envelope.counter)
     identity.recorder.clock.observe(stamp)
--- a/src/sardinemast/shell/_log_writer.py
+++ b/src/sardinemast/shell/_log_writer.py
@@ -1,4 +1,4 @@
-"""Write a replica's log beside the event loop."""
+"""Writer of a replica's log in a separate thread."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,11 +9,9 @@
 
 
 class LogWriter:
-    """Carry out a store's writes one after the other, in a thread.
+    """Run the writes of a log store in order in a thread.
 
-    A sync takes 4 to 9 ms on the disks that this is meant for. In the event
-    loop's own thread all sockets would wait for it, in a peak half of the
-    time.
+    A sync takes milliseconds and would block the event loop.
     """
 
     def __init__(self, store: LogStore) -> None:
@@ -25,15 +23,14 @@
         action: Callable[..., None],
         *records: Any,
     ) -> asyncio.Future[None]:
-        """Begin a write, and give what is done once it is synced."""
+        """Start a write and return a future that is done once it is synced."""
         loop = asyncio.get_running_loop()
         return loop.run_in_executor(self._executor, action, *records)
 
     def close(self) -> None:
-        """Wait for a write that is under way, and close the file.
+        """Wait for a pending write, then close the file.
 
-        Closed before, its number may be that of another file by the time that
-        the write goes on.
+        Otherwise the write could hit another file that reuses the descriptor.
         """
         self._executor.shutdown()
         self.store.close()
--- a/src/sardinemast/shell/_operator_http.py
+++ b/src/sardinemast/shell/_operator_http.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP: commands and queries."""
+"""HTTP server for operators: commands and queries."""
 
 import asyncio
 import time
@@ -22,15 +22,14 @@
 from sardinemast.shell._security import Access
 from sardinemast.wire import WireError, dump_plain
 
-# A command must fit into one frame between control processes.
+# Keeps a command within one frame between control processes.
 _MAX_BODY_BYTES = 4 * 1024 * 1024
 _ANSWER_TIMEOUT_S = 10.0
-# A sync takes 4 to 9 ms.
 _DURABILITY_POLL_S = 0.002
 
 
 class OperatorService:
-    """Pair operators' requests with the answers of the core."""
+    """Submit operators' commands to the core and wait for its answers."""
 
     def __init__(
         self,
@@ -51,21 +50,21 @@
         put: Callable[[control.ControlEvent], None],
         is_core_blocked: Callable[[], bool],
     ) -> None:
-        """Take the way to the core, and whether its writes are under way."""
+        """Connect to the core's inbox and to the check for pending outputs."""
         self._put = put
         self._is_core_blocked = is_core_blocked
 
     async def wait_until_durable(self) -> None:
-        """Wait until all that the core's state holds is safe.
+        """Wait until the state of the core is durable.
 
-        Read sooner, a single control process could show a change that a loss
-        of power takes back.
+        Otherwise a single control process could show a change that is lost in
+        a power failure.
         """
         while self._is_core_blocked():
             await asyncio.sleep(_DURABILITY_POLL_S)
 
     async def ask(self, command: Any) -> control.OperatorAnswer:
-        """Hand a command to the core and wait for the answer."""
+        """Submit a command to the core and wait for the answer."""
         request_id = next(self._request_ids)
         answer = asyncio.get_running_loop().create_future()
         self._pending[request_id] = answer
@@ -79,7 +78,7 @@
             self._pending.pop(request_id, None)
 
     def answer(self, output: control.AnswerOperator) -> None:
-        """Pass an answer to whoever waits for it."""
+        """Resolve the pending request of an answer."""
         pending = self._pending.get(output.request_id)
         if pending is not None and not pending.done():
             pending.set_result(output.answer)
@@ -92,10 +91,10 @@
 
 
 class CommandHandler(OperatorHandler):
-    """Take one command as CBOR and answer when it is in force."""
+    """Accept a command as CBOR and respond once it is in force."""
 
     async def post(self) -> None:
-        """Replicate the command."""
+        """Decode and replicate a command."""
         try:
             command = OPERATOR_COMMANDS.decode(self.request.body)
         except WireError as error:
@@ -115,8 +114,8 @@
         self.refuse(
             HTTPStatus.GATEWAY_TIMEOUT,
             'control.E002',
-            'No majority answered in time; it may still be accepted. '
-            'Send it again with the same command id.',
+            'No majority answered in time; the command may still be '
+            'accepted. Resend it with the same command id.',
         )
 
     def _write_answer(self, answer: control.OperatorAnswer) -> None:
@@ -124,7 +123,7 @@
             self.refuse(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 'control.E001',
-                'This process does not lead.',
+                'This process is not the leader.',
             )
             return
         if not answer.outcome.is_accepted:
@@ -142,19 +141,19 @@
 
 
 class StateHandler(LeaderHandler):
-    """Show the state, as the leader has it."""
+    """Serve the replicated state."""
 
     async def get(self) -> None:
-        """Give the state, or the leader to ask."""
+        """Return the state once it is durable."""
         await self.service.wait_until_durable()
         self.finish(describe_state(self.service.core.state))
 
 
 class DiffHandler(LeaderHandler):
-    """Show what differs between two versions of the document."""
+    """Serve the differences between two versions of the document."""
 
     async def get(self, before: str, after: str) -> None:
-        """Give the fields that differ."""
+        """Return the changed fields."""
         await self.service.wait_until_durable()
         changes = diff_versions(
             self.service.core.state,
@@ -165,21 +164,21 @@
             self.refuse(
                 HTTPStatus.NOT_FOUND,
                 'fleet.E007',
-                'One of the versions is not kept.',
+                'One of the versions is not stored.',
             )
             return
         self.finish({'changes': _list_records(changes)})
 
 
 class TimelineHandler(RequestHandler):
-    """Show the events of this process."""
+    """Serve the recorded events of this process."""
 
     def initialize(self, identity: Identity) -> None:
-        """Take the process whose events are shown."""
+        """Store the identity of the process."""
         self.identity = identity
 
     def get(self) -> None:
-        """Give all events that are kept."""
+        """Return the recorded events."""
         events = self.identity.recorder.get_events()
         self.finish({'events': dump_plain(events)})
 
@@ -189,7 +188,7 @@
     address: Address,
     more_routes: Sequence[Any] = (),
 ) -> HTTPServer:
-    """Open the operators' port."""
+    """Start the HTTP server for operators."""
     options = {'service': service}
     application = Application(
         [
@@ -215,4 +214,4 @@
 
 
 def _log_nothing(handler: RequestHandler) -> None:
-    """Leave the access log to the time line."""
+    """Disable Tornado's access log; the timeline records requests."""
--- a/src/sardinemast/shell/_replica_http.py
+++ b/src/sardinemast/shell/_replica_http.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP for the replicas of the log."""
+"""HTTP handlers for operators: list and repair replicas of the log."""
 
 import asyncio
 import time
@@ -15,7 +15,7 @@
 
 
 class ReplicaService:
-    """Pair requests for repair with the answers of the core."""
+    """Submit repair requests to the core and wait for its answers."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._pending: dict[int, asyncio.Future[control.AnswerRepair]] = {}
 
     def get_routes(self) -> list[Any]:
-        """Give the handlers by their paths."""
+        """Return the routes of the handlers."""
         options = {'service': self}
         return [
             ('/v1/replicas', ReplicasHandler, options),
@@ -38,7 +38,7 @@
         ]
 
     async def ask(self, name: str) -> control.AnswerRepair:
-        """Ask for a replica's folder to be replaced, and wait."""
+        """Request the repair of a replica and wait for the answer."""
         request_id = next(self._request_ids)
         answer = asyncio.get_running_loop().create_future()
         self._pending[request_id] = answer
@@ -49,17 +49,17 @@
             self._pending.pop(request_id, None)
 
     def answer(self, output: control.AnswerRepair) -> None:
-        """Pass the answer to whoever waits for it."""
+        """Resolve the pending request of an answer."""
         pending = self._pending.get(output.request_id)
         if pending is not None and not pending.done():
             pending.set_result(output)
 
 
 class ReplicasHandler(LeaderHandler):
-    """Show the replicas as the leader has them."""
+    """Serve the replicas as known to the leader."""
 
     def get(self) -> None:
-        """Give each member with how far it is."""
+        """Return each member and its progress."""
         replica = self.service.core.replica
         self.finish(
             {
@@ -76,10 +76,10 @@
 
 
 class RepairHandler(LeaderHandler):
-    """Have a replica's data folder replaced."""
+    """Accept requests to replace a replica's data folder."""
 
     async def post(self, name: str) -> None:
-        """Tell the replica to join anew, where the others are a majority."""
+        """Make the replica rejoin empty if the others form a majority."""
         answer = await self.service.ask(name)
         if answer.is_accepted:
             self.finish({'is_accepted': True, 'replica': name})
@@ -87,6 +87,6 @@
             self.refuse(
                 HTTPStatus.CONFLICT,
                 'control.E004',
-                'The others are no majority, or the name is the leader or '
-                'unknown, or a change is under way.',
+                'The other replicas are not a majority, the name is unknown '
+                'or that of the leader, or a change is in progress.',
             )
--- a/src/sardinemast/shell/_request_heads.py
+++ b/src/sardinemast/shell/_request_heads.py
@@ -1,4 +1,4 @@
-"""What a caller's head says, and refusals of what it may not say."""
+"""Parsing and validation of the heads of callers' requests."""
 
 import json
 import math
@@ -24,7 +24,7 @@
     headers: HTTPHeaders,
     body_bytes: int,
 ) -> Arrival | Refusal:
-    """Read what the entry needs to know of a request, or refuse it."""
+    """Return what the entry needs to know about a request, or refuse it."""
     deadline_text = headers.get(DEADLINE_HEADER)
     deadline_s = None
     if deadline_text is not None:
@@ -33,7 +33,7 @@
             return refuse_not_run(
                 'admission.E009',
                 HTTPStatus.BAD_REQUEST,
-                f'{DEADLINE_HEADER} is the time left in seconds, such as 2.5.',
+                f'{DEADLINE_HEADER} must be the time left in seconds, such as 2.5.',
             )
     key = _parse_bearer_key(headers.get(KEY_HEADER, ''))
     path = start_line.path.partition('?')[0]
@@ -62,33 +62,32 @@
 
 
 def refuse_malformed() -> Refusal:
-    """Refuse what has no one meaning as an HTTP request."""
+    """Return the refusal of a malformed or ambiguous HTTP request."""
     return refuse_not_run(
         'shell.E001',
         HTTPStatus.BAD_REQUEST,
-        'This is no valid HTTP/1.1 request. Send one Host, and one length: '
+        'Invalid HTTP/1.1 request. Send one Host header and one body length: '
         'either Content-Length or Transfer-Encoding: chunked.',
     )
 
 
 def encode_refusal(refusal: Refusal) -> bytes:
-    """Give the body of a refusal."""
+    """Encode a refusal as JSON."""
     return json.dumps(refusal._asdict()).encode()
 
 
 def is_unambiguous(start_line: RequestStartLine, headers: HTTPHeaders) -> bool:
-    """Tell whether every server reads a request alike."""
-    # Two processes that understand a request differently let a caller hide
-    # a second request in the first one's body; it would run with no key.
+    """Check whether all HTTP servers interpret a request alike."""
+    # Prevents request smuggling, which would bypass the check of the key.
     if start_line.version != 'HTTP/1.1':
         return 'Transfer-Encoding' not in headers
     return len(headers.get_list('Host')) == 1
 
 
 def refuse_large_body(limit_bytes: int) -> Refusal:
-    """Refuse a body over the limit."""
+    """Return the refusal of a body over the limit."""
     return refuse_not_run(
         'admission.E004',
         HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
-        f'The body is over {limit_bytes} bytes. Send less.',
+        f'The body exceeds the limit of {limit_bytes} bytes.',
     )
--- a/src/sardinemast/shell/_security.py
+++ b/src/sardinemast/shell/_security.py
@@ -1,4 +1,4 @@
-"""Credentials of processes and operators: mutual TLS."""
+"""Mutual TLS between processes and with operators."""
 
 import asyncio
 import ssl
@@ -18,25 +18,24 @@
 
 
 class CertificateUnit(StrEnum):
-    """Say what the holder of a certificate may do."""
+    """List the organizational units that grant permissions."""
 
     process = 'process'
     operator = 'operator'
 
 
 class PeerIdentity(NamedTuple):
-    """Hold the name and the unit of a verified certificate."""
+    """Hold the common name and the unit of a verified certificate."""
 
     name: str
     unit: str
 
 
 class ServerCredentials:
-    """Hold a server's TLS context and follow its files.
+    """Hold a server's TLS context and reload its files.
 
-    A certificate that runs out must be replaced while the process serves;
-    a restart of each control process only for that would cost leases and an
-    election. New connections use the new files, open ones stay.
+    Certificates can be renewed without a restart, which would cost leases
+    and an election. New connections use the new files, open ones stay.
     """
 
     def __init__(self, security: Security) -> None:
@@ -49,7 +48,7 @@
         self._mtimes_ns = _get_mtimes_ns(security)
 
     def refresh(self) -> bool:
-        """Read the files again where they changed, and tell whether."""
+        """Reload changed files; return whether any has changed."""
         mtimes_ns = _get_mtimes_ns(self._security)
         if mtimes_ns == self._mtimes_ns:
             return False
@@ -59,11 +58,11 @@
 
 
 class Access:
-    """Decide who may connect to this process, and as whom it connects.
+    """Authorize clients of this process, and provide its own credentials.
 
-    Without settings for security everybody may; the check of settings allows
-    that on loopback addresses only. Where ``source_host`` is set, connections
-    to other processes come from that address.
+    Without security settings all clients are allowed; the settings permit
+    that on loopback addresses only. If ``source_host`` is set, connections to
+    other processes are made from that address.
     """
 
     def __init__(
@@ -79,11 +78,11 @@
 
     @property
     def server_context(self) -> ssl.SSLContext | None:
-        """Give the context that this process's servers use."""
+        """Return the TLS context of this process's servers."""
         return self._credentials.context if self._credentials else None
 
     def create_client_context(self) -> ssl.SSLContext | None:
-        """Make the context for one connection to another process."""
+        """Create the TLS context of one connection to another process."""
         if self._security is None:
             return None
         return create_client_context(self._security)
@@ -91,10 +90,10 @@
     def is_allowed(
         self, tls: Any, unit: CertificateUnit, name: str = ''
     ) -> bool:
-        """Tell whether the other end may act as the unit, and as the name.
+        """Check whether the peer has the unit and, if given, the name.
 
-        ``tls`` is the connection's ``ssl_object``. Comparing the name keeps
-        an entry's certificate from speaking for a control process.
+        ``tls`` is the connection's ``ssl_object``. The check of the name
+        keeps an entry from impersonating a control process.
         """
         if self._security is None:
             return True
@@ -104,7 +103,7 @@
         return identity.unit == unit and name in {'', identity.name}
 
     async def refresh_periodically(self) -> None:
-        """Use changed files for new connections, until cancelled."""
+        """Reload changed credentials until cancelled."""
         while True:
             await asyncio.sleep(_REFRESH_INTERVAL_S)
             self._refresh()
@@ -112,28 +111,27 @@
     def _refresh(self) -> None:
         if self._credentials is None:
             return
-        # A file that is half written must not stop the process; it is read
-        # again at the next turn, and open connections go on meanwhile.
+        # A partially written file is read again at the next interval.
         try:
             is_changed = self._credentials.refresh()
         except OSError as error:
-            _log.warning('New credentials cannot be used: {}.', error)
+            _log.warning('New credentials cannot be loaded: {}.', error)
             return
         if is_changed:
-            _log.info('New credentials are in use.')
+            _log.info('New credentials are loaded.')
 
 
 def create_client_context(security: Security) -> ssl.SSLContext:
-    """Make the context for one connection, from the files as they are."""
+    """Create the TLS context of one connection from the current files."""
     context = _create_context(ssl.PROTOCOL_TLS_CLIENT, security)
-    # Processes are known by IP addresses and certificates by names, so the
-    # name is compared by the protocol above and not by TLS.
+    # Processes are addressed by IP, but certificates hold names, which
+    # ``Access.is_allowed`` checks.
     context.check_hostname = False
     return context
 
 
 def get_peer_identity(certificate: Any) -> PeerIdentity:
-    """Read the name and the unit from ``getpeercert()``'s answer."""
+    """Return the name and the unit from the result of ``getpeercert()``."""
     parts = (certificate or {}).get('subject', ())
     subject = dict(chain.from_iterable(parts))
     return PeerIdentity(
--- a/src/sardinemast/shell/_upstream_client.py
+++ b/src/sardinemast/shell/_upstream_client.py
@@ -1,4 +1,4 @@
-"""Requests to upstreams, each on a connection of its own for the time."""
+"""HTTP client for upstreams: one exchange at a time per connection."""
 
 import asyncio
 import time
@@ -25,7 +25,7 @@
 
 
 class CallerRequest(NamedTuple):
-    """Hold a caller's whole request."""
+    """Hold a caller's complete request."""
 
     method: str
     uri: str
@@ -35,7 +35,7 @@
 
 
 class UpstreamResponse(NamedTuple):
-    """Hold a whole answer."""
+    """Hold an upstream's complete response."""
 
     code: int
     reason: str
@@ -44,27 +44,27 @@
 
 
 class Attempt(NamedTuple):
-    """Hold how an attempt ended, and the whole answer where there is one."""
+    """Hold the result of an attempt and the response, if complete."""
 
     attempt_result: AttemptResult
     response: UpstreamResponse | None = None
 
 
 class RawAttempt(NamedTuple):
-    """Hold how an attempt ended, with the answer's headers as they came."""
+    """Hold the result of an attempt and the response with raw headers."""
 
     attempt_result: AttemptResult
     response: RawResponse | None = None
 
 
 class UpstreamClient:
-    """Send requests over pools of connections, one pool an upstream."""
+    """Send requests over connection pools, one per upstream."""
 
     def __init__(self) -> None:
         self._pools: dict[str, ConnectionPool] = {}
 
     async def run(self) -> None:
-        """Close what has gone stale, until cancelled."""
+        """Close stale idle connections until cancelled."""
         while True:
             await asyncio.sleep(MAX_IDLE_S)
             self._drop_stale()
@@ -72,7 +72,7 @@
     async def send(
         self, start: StartAttempt, request: CallerRequest
     ) -> Attempt:
-        """Send a caller's request once, without its key and hop headers."""
+        """Send a caller's request once, without key and hop-by-hop headers."""
         headers = filter_request_headers(request.headers, request.remote_ip)
         encoded = encode_request(
             request.method,
@@ -84,13 +84,15 @@
         attempt = await self.exchange(start, encoded)
         if attempt.response is None:
             return Attempt(attempt.attempt_result)
-        answer = attempt.response
+        response = attempt.response
         received = HTTPHeaders()
-        for header in answer.headers:
+        for header in response.headers:
             received.add(*header)
         return Attempt(
             attempt.attempt_result,
-            UpstreamResponse(answer.code, answer.reason, received, answer.body),
+            UpstreamResponse(
+                response.code, response.reason, received, response.body
+            ),
         )
 
     async def exchange(
@@ -98,27 +100,29 @@
         start: StartAttempt,
         request: RawRequest,
     ) -> RawAttempt:
-        """Send a request once, and give the whole answer or what is known."""
+        """Send a request once and return its result."""
         deadline_s = time.monotonic() + start.timeout_s
         pool = self._get_pool(start.upstream)
         try:
             connection = await _acquire_connection(pool, start)
         except (OSError, TimeoutError):
             return RawAttempt(AttemptResult.not_sent)
-        # A process that was stopped after its core's decision goes on here,
-        # maybe an hour later. The key may be withdrawn and the limit given to
-        # others.
+        # The process may have been suspended since the core decided. The
+        # team's key may have been withdrawn or its slot granted to another
+        # entry, so nothing is sent after the lease.
         is_valid = time.monotonic() < start.valid_until_s
         if not is_valid or not connection.has_no_pending_input():
             pool.drop(connection)
             return RawAttempt(AttemptResult.not_sent)
         remaining_s = deadline_s - time.monotonic()
         if connection.is_reused and start.is_repeatable:
-            # Half the time is left for a fresh connection, in case that
-            # something between has lost track of this one.
+            # A firewall or NAT may have dropped the reused connection, so half
+            # of the time is kept for a retry on a new one.
             remaining_s /= 2
         try:
-            answer = await _wait_for_response(connection, request, remaining_s)
+            response = await _wait_for_response(
+                connection, request, remaining_s
+            )
         except TimeoutError:
             pool.drop(connection)
             return _handle_timeout(pool, connection)
@@ -126,7 +130,7 @@
             pool.drop(connection)
             raise
         pool.release(connection)
-        return _classify_response(answer)
+        return _classify_response(response)
 
     def _get_pool(self, upstream: Announcement) -> ConnectionPool:
         pool = self._pools.get(upstream.instance)
@@ -150,16 +154,16 @@
     headers: Iterable[Header],
     body: bytes,
 ) -> RawRequest:
-    """Write a request out, or raise ``ValueError`` for a broken line."""
+    """Encode a request, or raise ``ValueError`` if a line has a line break."""
     lines = [f'{method} {uri} HTTP/1.1']
     lines.append(f'Host: {upstream.host}:{upstream.port}')
     lines.extend(f'{name}: {text}' for name, text in headers)
     if body or method in _BODY_METHODS:
         lines.append(f'Content-Length: {len(body)}')
     head = '\r\n'.join(lines)
-    # Whatever ends a line early would begin a header, or another request.
+    # Prevents injection of headers or requests through line breaks.
     if head.count('\n') >= len(lines) or head.count('\r') >= len(lines):
-        raise ValueError('A line of the request holds another one.')
+        raise ValueError('A line of the request contains a line break.')
     encoded = f'{head}\r\n\r\n'.encode(_ENCODING)
     return RawRequest(encoded + body, method == 'HEAD')
 
@@ -195,15 +199,14 @@
 ) -> RawAttempt:
     if not connection.is_reused:
         return RawAttempt(AttemptResult.timed_out)
-    # The next attempt must not meet the same fate on a connection that takes
-    # the same way.
+    # Other idle connections may have been dropped on the way as well.
     pool.drop_idle()
     return RawAttempt(AttemptResult.silent)
 
 
-def _classify_response(answer: RawResponse | None) -> RawAttempt:
-    if answer is None:
+def _classify_response(response: RawResponse | None) -> RawAttempt:
+    if response is None:
         return RawAttempt(AttemptResult.broken)
-    if answer.code in _FAILURE_CODES:
-        return RawAttempt(AttemptResult.failed, answer)
-    return RawAttempt(AttemptResult.answered, answer)
+    if response.code in _FAILURE_CODES:
+        return RawAttempt(AttemptResult.failed, response)
+    return RawAttempt(AttemptResult.answered, response)
--- a/tests/shell/test_call_forwarder.py
+++ b/tests/shell/test_call_forwarder.py
@@ -1,4 +1,4 @@
-"""Calls of entries that a control process passes on to the leader."""
+"""Forwarding of calls from entries to the leader."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -31,7 +31,7 @@
 
 
 class FakeRelay:
-    """Stand for the stream to the leader."""
+    """Fake the stream to the leader."""
 
     def __init__(self) -> None:
         self.is_connected = True
@@ -41,7 +41,7 @@
         self.may_answer = asyncio.Event()
 
     async def call(self, call: Call, timeout_s: float) -> CallAnswer:
-        """Answer once the test says so."""
+        """Answer once ``may_answer`` is set."""
         self.calls.append(call)
         await self.may_answer.wait()
         return CallAnswer(CallOutcome.done)
@@ -87,8 +87,8 @@
     )
 
 
-def test_answer_comes_back_under_the_number_of_its_call() -> None:
-    """Each caller gets the answer to its own call."""
+def test_answer_carries_the_id_of_its_call() -> None:
+    """Guard against an answer that reaches the wrong caller."""
 
     async def test(websocket: ClientConnection, relay: FakeRelay) -> None:
         relay.may_answer.set()
@@ -99,12 +99,8 @@
     _run(test)
 
 
-def test_call_that_is_sent_again_is_passed_on_once() -> None:
-    """After a change of leader entries send again what has no answer yet.
-
-    Passed on each time, the calls of a hundred entries would come to the new
-    leader twice, by this process and by its own resend.
-    """
+def test_resent_call_is_forwarded_once() -> None:
+    """Guard against doubling the calls that reach a new leader."""
 
     async def test(websocket: ClientConnection, relay: FakeRelay) -> None:
         await _send(websocket, 7)
@@ -117,8 +113,8 @@
     _run(test)
 
 
-def test_entry_hears_that_a_leader_is_lost_and_found() -> None:
-    """Its callers are refused at once and truly while there is none."""
+def test_entry_is_told_of_loss_and_return_of_the_leader() -> None:
+    """Guard against calls that wait while no leader is known."""
 
     async def test(websocket: ClientConnection, relay: FakeRelay) -> None:
         assert await _receive(websocket) == LeaderBeat(
--- a/tests/shell/test_caller_http.py
+++ b/tests/shell/test_caller_http.py
@@ -1,4 +1,4 @@
-"""Callers' bytes at an entry's port, with no entry behind it."""
+"""HTTP server for callers, with a fake entry behind it."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -22,17 +22,17 @@
 _GET = b'GET /enrolment/book HTTP/1.1\r\nHost: entry\r\n'
 
 
-class _Desk:
-    """Answer each request at once, and note it."""
+class _FakeEntry:
+    """Record each request and respond to it immediately."""
 
     def __init__(self) -> None:
         self.identity = create_identity('entry-1')
         self.loop: Any = None
         self.metrics = EntryMetrics()
         self.arrivals: list[Arrival] = []
-        self.forgotten: list[int] = []
-        self.writing: list[asyncio.Future[None]] = []
-        self.gives_answers = True
+        self.discarded: list[int] = []
+        self.writes: list[asyncio.Future[None]] = []
+        self.responds = True
         self.body = b''
 
     def is_ready(self) -> bool:
@@ -45,7 +45,7 @@
         return False
 
     def track_write(self, written: asyncio.Future[None]) -> None:
-        self.writing.append(written)
+        self.writes.append(written)
 
     def check_head(self, arrival: Arrival) -> Refusal | int:
         if arrival.body_bytes > _LIMIT_BYTES:
@@ -63,7 +63,7 @@
         respond: _caller_exchange.ResponseCallback,
     ) -> int:
         self.arrivals.append(arrival)
-        if self.gives_answers:
+        if self.responds:
             respond(
                 UpstreamResponse(
                     200, 'OK', HTTPHeaders(), self.body or request.body
@@ -72,10 +72,10 @@
         return len(self.arrivals)
 
     def discard_caller(self, request_id: int) -> None:
-        self.forgotten.append(request_id)
+        self.discarded.append(request_id)
 
 
-async def _read_answer(reader: asyncio.StreamReader) -> bytes:
+async def _read_response(reader: asyncio.StreamReader) -> bytes:
     head = await asyncio.wait_for(reader.readuntil(b'\r\n\r\n'), 5)
     length = head.lower().partition(b'content-length: ')[2].split(b'\r')[0]
     return head + await reader.readexactly(int(length))
@@ -83,9 +83,9 @@
 
 @asynccontextmanager
 async def _connect(
-    handler: _Desk,
+    fake_entry: _FakeEntry,
 ) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
-    server = listen_for_callers(handler, Address('127.0.0.1', 0))
+    server = listen_for_callers(fake_entry, Address('127.0.0.1', 0))
     port = next(iter(server._sockets.values())).getsockname()[1]
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
     yield reader, writer
@@ -93,14 +93,14 @@
     server.stop()
 
 
-def _send(sent: bytes) -> tuple[bytes, _Desk]:
-    """Send bytes, and give all that comes back."""
+def _send(sent: bytes) -> tuple[bytes, _FakeEntry]:
+    """Send bytes and return the response."""
 
-    async def run() -> tuple[bytes, _Desk]:
-        handler = _Desk()
-        async with _connect(handler) as (reader, writer):
+    async def run() -> tuple[bytes, _FakeEntry]:
+        fake_entry = _FakeEntry()
+        async with _connect(fake_entry) as (reader, writer):
             writer.write(sent)
-            return await _read_answer(reader), handler
+            return await _read_response(reader), fake_entry
 
     return asyncio.run(run())
 
@@ -129,28 +129,24 @@
     ],
 )
 def test_ambiguous_request_is_refused(sent: bytes) -> None:
-    """Refuse what two servers could read differently.
-
-    A caller hides a second request behind two lengths that disagree. If the
-    entry and the upstream each believed another one, it would run unchecked.
-    """
+    """Guard against request smuggling through ambiguous framing."""
     hidden = b'GET /enrolment/hidden HTTP/1.1\r\nHost: entry\r\n\r\n'
-    received, handler = _send(sent + hidden)
+    received, fake_entry = _send(sent + hidden)
     assert received.startswith(b'HTTP/1.1 400 ')
     assert b'shell.E001' in received
     assert b'Sardinemast-Outcome: not run\r\n' in received
-    assert not handler.arrivals
+    assert not fake_entry.arrivals
 
 
 @pytest.mark.parametrize(
     'deadline', ['nan', 'inf', '-inf', 'soon', '', '1e999']
 )
-def test_deadline_that_is_no_number(deadline: str) -> None:
-    """Refuse a deadline that no clock can reach."""
+def test_invalid_deadline_is_refused(deadline: str) -> None:
+    """Guard against deadlines that are not finite numbers."""
     header = f'Sardinemast-Deadline-S: {deadline}\r\n\r\n'.encode()
-    received, handler = _send(_GET + header)
+    received, fake_entry = _send(_GET + header)
     assert b'admission.E009' in received
-    assert not handler.arrivals
+    assert not fake_entry.arrivals
 
 
 @pytest.mark.parametrize(
@@ -162,15 +158,11 @@
     ],
 )
 def test_large_body_is_refused_before_its_end(sent: bytes) -> None:
-    """Refuse a body over the limit while it is still on its way.
-
-    A caller sends a gigabyte. Read to its end it would fill the memory of a
-    small instance before anything is checked.
-    """
-    received, handler = _send(sent)
+    """Guard against large uploads that fill the memory before the check."""
+    received, fake_entry = _send(sent)
     assert received.startswith(b'HTTP/1.1 413 ')
     assert b'admission.E004' in received
-    assert not handler.arrivals
+    assert not fake_entry.arrivals
 
 
 @pytest.mark.parametrize(
@@ -186,66 +178,60 @@
         (_GET + b'\r\n', b''),
     ],
 )
-def test_whole_body_is_handed_over(sent: bytes, body: bytes) -> None:
-    """A body in either framing arrives whole."""
-    received, handler = _send(sent)
+def test_complete_body_is_submitted(sent: bytes, body: bytes) -> None:
+    """Accept a body with a declared length and a chunked one."""
+    received, fake_entry = _send(sent)
     assert received.startswith(b'HTTP/1.1 200 ')
     assert received.endswith(b'\r\n\r\n' + body)
-    assert [one.body_bytes for one in handler.arrivals] == [len(body)]
+    assert [one.body_bytes for one in fake_entry.arrivals] == [len(body)]
 
 
-def test_caller_that_leaves_is_noticed() -> None:
-    """Forget a caller that closes its connection while its request runs.
+def test_disconnected_caller_is_discarded() -> None:
+    """Guard against requests that wait after their caller disconnected."""
 
-    Its place among those that wait would be taken for nobody.
-    """
-
-    async def run() -> _Desk:
-        handler = _Desk()
-        handler.gives_answers = False
-        async with _connect(handler) as (_, writer):
+    async def run() -> _FakeEntry:
+        fake_entry = _FakeEntry()
+        fake_entry.responds = False
+        async with _connect(fake_entry) as (_, writer):
             writer.write(_GET + b'\r\n')
-            while not handler.arrivals:
+            while not fake_entry.arrivals:
                 await asyncio.sleep(0)
         for _ in range(_MANY_TURNS):
             await asyncio.sleep(0)
-        return handler
+        return fake_entry
 
-    assert asyncio.run(run()).forgotten == [1]
+    assert asyncio.run(run()).discarded == [1]
 
 
-def test_caller_that_takes_nothing_is_closed(
+def test_caller_that_does_not_read_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Close the connection of a caller that does not read its answer.
-
-    Some thousand of them would fill the memory of the entry with answers.
-    """
+    """Guard against memory filled with responses that nobody reads."""
     monkeypatch.setattr(_caller_exchange, '_WRITE_TIMEOUT_S', 0.01)
 
     async def run() -> None:
-        handler = _Desk()
-        handler.body = b'x' * 50_000_000
-        async with _connect(handler) as (reader, writer):
+        fake_entry = _FakeEntry()
+        fake_entry.body = b'x' * 50_000_000
+        async with _connect(fake_entry) as (reader, writer):
             writer.write(_GET + b'\r\n')
-            while not handler.writing:
+            while not fake_entry.writes:
                 await asyncio.sleep(0)
-            await asyncio.wait_for(handler.writing[0], 5)
+            await asyncio.wait_for(fake_entry.writes[0], 5)
 
     asyncio.run(run())
 
 
-def test_caller_that_leaves_in_mid_answer_is_noticed() -> None:
-    """A caller goes away with half of its answer; a stop must not wait."""
+def test_disconnect_during_the_response_completes_the_write() -> None:
+    """Guard against a planned stop that waits for a lost caller."""
 
     async def run() -> None:
-        handler = _Desk()
-        handler.body = b'x' * 50_000_000
-        async with _connect(handler) as (_, writer):
+        fake_entry = _FakeEntry()
+        fake_entry.body = b'x' * 50_000_000
+        async with _connect(fake_entry) as (_, writer):
             writer.write(_GET + b'\r\n')
-            while not handler.writing:
+            while not fake_entry.writes:
                 await asyncio.sleep(0)
             writer.transport.abort()
-            await asyncio.wait_for(handler.writing[0], 5)
+            await asyncio.wait_for(fake_entry.writes[0], 5)
 
     asyncio.run(run())
--- a/tests/shell/test_loop.py
+++ b/tests/shell/test_loop.py
@@ -1,4 +1,4 @@
-"""A core whose outputs take their time, as writes to a disk do."""
+"""Event loop of a core whose outputs complete later."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,7 +11,7 @@
 
 
 class _Disk:
-    """Note what is carried out; what is named a write waits for its sync."""
+    """Record executed outputs; outputs named "write" wait for a sync."""
 
     def __init__(self) -> None:
         self.done: list[str] = []
@@ -44,12 +44,8 @@
     asyncio.run(run())
 
 
-def test_nothing_is_said_before_it_is_written() -> None:
-    """A second change comes while the first is being synced.
-
-    Confirmed before its sync, it would be gone after a loss of power, and an
-    operator would have been told that it stands.
-    """
+def test_output_after_a_write_waits_for_its_sync() -> None:
+    """Guard against confirming a change before it is durable."""
 
     async def test(disk: _Disk, loop: CoreLoop[str, str]) -> None:
         loop.put('first')
@@ -68,8 +64,8 @@
     _run(test)
 
 
-def test_disk_that_refuses_ends_the_run() -> None:
-    """A full disk refuses a write, and nothing behind it may be said."""
+def test_failed_write_ends_the_run() -> None:
+    """Guard against executing outputs after a failed write."""
 
     async def run() -> None:
         disk = _Disk()
--- a/tests/shell/test_relay.py
+++ b/tests/shell/test_relay.py
@@ -1,4 +1,4 @@
-"""Calls to the leader while control processes stand still or change."""
+"""Calls to the leader while control processes freeze, fail or change."""
 
 import asyncio
 import socket
@@ -27,9 +27,9 @@
 _FIRST = '127.0.0.2'
 _SECOND = '127.0.0.3'
 _CALL = JobCall(JobAction.read, 'h', '/q/1', 'k')
-_SOON_S = 0.8
-# A seed that leaves the two processes in their order.
-_FIRST_BEFORE_SECOND = 0
+_SEARCH_TIMEOUT_S = 0.8
+# Seed that keeps the order of the two processes.
+_SEED = 0
 Test = Callable[[int, LeaderRelay], Awaitable[None]]
 
 
@@ -51,21 +51,21 @@
         cluster,
         Access(None),
         way,
-        Random(_FIRST_BEFORE_SECOND),
+        Random(_SEED),
     )
-    running = asyncio.create_task(relay.run())
+    run_task = asyncio.create_task(relay.run())
     try:
         await test(port, relay)
     finally:
-        running.cancel()
+        run_task.cancel()
 
 
-def _lead(host: str, outcomes: list[CallOutcome]) -> Any:
-    """Give a handler that leads, and answers each call by an outcome."""
+def _make_leader_handler(host: str, outcomes: list[CallOutcome]) -> Any:
+    """Return a handler that acts as leader and answers with outcomes."""
     identity = create_identity(host)
 
     async def handle(websocket: ServerConnection) -> None:
-        beating = asyncio.create_task(_beat(websocket, identity))
+        beat_task = asyncio.create_task(_beat(websocket, identity))
         try:
             async for frame in websocket:
                 passed = unpack_call(decode_frame(identity, frame).body)
@@ -74,7 +74,7 @@
                     websocket, identity, PassAnswer(passed.call_id, answer)
                 )
         finally:
-            beating.cancel()
+            beat_task.cancel()
 
     return handle
 
@@ -97,54 +97,48 @@
         await asyncio.sleep(0.02)
 
 
-def test_process_that_stands_still_does_not_hold_up_the_search() -> None:
-    """The leader froze; its system still takes connections.
-
-    The next process leads within a second. Entries that wait for the frozen
-    one's first word refuse callers for a second more than they must.
-    """
+def test_frozen_process_does_not_delay_the_search_for_a_leader() -> None:
+    """Guard against waiting for a frozen process that accepts connections."""
 
     async def test(port: int, relay: LeaderRelay) -> None:
         with socket.create_server((_FIRST, port)):
-            async with serve(_lead(_SECOND, []), _SECOND, port):
-                async with asyncio.timeout(_SOON_S):
+            async with serve(_make_leader_handler(_SECOND, []), _SECOND, port):
+                async with asyncio.timeout(_SEARCH_TIMEOUT_S):
                     await _wait_connected(relay)
 
     _run(test)
 
 
-def test_call_that_a_leader_leaves_open_goes_to_the_next() -> None:
-    """A leader ends its term while a call waits for the log.
-
-    It cannot tell what becomes of the call. The next leader can, and the
-    caller need not send it again.
-    """
+def test_uncertain_call_is_resent_to_the_next_leader() -> None:
+    """Guard against an uncertain answer when the next leader knows better."""
 
     async def test(port: int, relay: LeaderRelay) -> None:
-        first = _lead(_FIRST, [CallOutcome.uncertain])
+        first = _make_leader_handler(_FIRST, [CallOutcome.uncertain])
         async with serve(first, _FIRST, port) as server:
             await _wait_connected(relay)
-            calling = asyncio.create_task(relay.call(_CALL, 5))
+            call_task = asyncio.create_task(relay.call(_CALL, 5))
             await asyncio.sleep(0.3)
-            assert not calling.done()
+            assert not call_task.done()
             server.close()
-        async with serve(_lead(_SECOND, [CallOutcome.done]), _SECOND, port):
-            answer = await calling
+        async with serve(
+            _make_leader_handler(_SECOND, [CallOutcome.done]), _SECOND, port
+        ):
+            answer = await call_task
         assert answer.outcome is CallOutcome.done
 
     _run(test)
 
 
-def test_call_without_a_leader_is_refused_soon_and_truly() -> None:
-    """No process leads; nothing of the call may be on its way anywhere."""
+def test_call_without_a_leader_is_refused_soon() -> None:
+    """Guard against calls that wait or are sent while no process leads."""
 
     async def test(port: int, relay: LeaderRelay) -> None:
         identity = create_identity(_FIRST)
 
-        async def send_on(websocket: ServerConnection) -> None:
+        async def redirect(websocket: ServerConnection) -> None:
             await _send(websocket, identity, NotLeader(''))
 
-        async with serve(send_on, _FIRST, port):
+        async with serve(redirect, _FIRST, port):
             async with asyncio.timeout(0.5):
                 answer = await relay.call(_CALL, 5)
         assert answer.outcome is CallOutcome.refused
@@ -152,46 +146,44 @@
     _run(test)
 
 
-def test_entry_stays_with_a_process_that_awaits_the_next_leader() -> None:
-    """All control processes have lost power, and elect a leader just now.
-
-    Each of a hundred entries asked them in turn, twenty times a second. They
-    had no time left for each other's votes and heartbeats, and five leaders
-    in a row lost their terms.
-    """
+def test_entry_stays_connected_during_an_election() -> None:
+    """Guard against entries that overload processes during an election."""
     identity = create_identity(_FIRST)
-    opened = 0
+    connection_count = 0
 
-    async def elect(websocket: ServerConnection) -> None:
-        nonlocal opened
-        opened += 1
+    async def elect_slowly(websocket: ServerConnection) -> None:
+        nonlocal connection_count
+        connection_count += 1
         for _ in range(4):
             await _send(websocket, identity, NotLeader(''))
             await asyncio.sleep(0.2)
         await _beat(websocket, identity)
 
     async def test(port: int, relay: LeaderRelay) -> None:
-        async with serve(elect, _FIRST, port), serve(elect, _SECOND, port):
+        async with (
+            serve(elect_slowly, _FIRST, port),
+            serve(elect_slowly, _SECOND, port),
+        ):
             async with asyncio.timeout(5):
                 await _wait_connected(relay)
-            assert opened == 1
+            assert connection_count == 1
 
     _run(test, CallRoute.forwarded)
 
 
-def test_entry_leaves_a_process_that_never_hears_of_a_leader() -> None:
-    """Its control process is cut off from the others, which have elected."""
+def test_entry_leaves_a_process_that_stays_without_leader() -> None:
+    """Guard against staying with a process in a minority partition."""
     identity = create_identity(_FIRST)
 
-    async def be_cut_off(websocket: ServerConnection) -> None:
+    async def report_no_leader(websocket: ServerConnection) -> None:
         while True:
             await _send(websocket, identity, NotLeader(''))
             await asyncio.sleep(0.1)
 
     async def test(port: int, relay: LeaderRelay) -> None:
         async with (
-            serve(be_cut_off, _FIRST, port),
-            serve(_lead(_SECOND, []), _SECOND, port),
+            serve(report_no_leader, _FIRST, port),
+            serve(_make_leader_handler(_SECOND, []), _SECOND, port),
             asyncio.timeout(5),
         ):
             await _wait_connected(relay)
@@ -199,22 +191,18 @@
     _run(test, CallRoute.forwarded)
 
 
-def test_refusal_of_a_call_that_went_another_way_before_is_not_told() -> None:
-    """A process passes a booking on, and its stream to the entry breaks.
-
-    The next process knows of no leader and refuses. Told that nothing was
-    done, the family books again, and both bookings run.
-    """
+def test_refusal_of_a_resent_call_is_uncertain() -> None:
+    """Guard against "refused" for a call that may have been forwarded."""
 
-    async def take_and_break(websocket: ServerConnection) -> None:
+    async def break_after_call(websocket: ServerConnection) -> None:
         identity = create_identity(_FIRST)
-        beating = asyncio.create_task(_beat(websocket, identity))
+        beat_task = asyncio.create_task(_beat(websocket, identity))
         await websocket.recv()
-        beating.cancel()
+        beat_task.cancel()
 
     async def test(port: int, relay: LeaderRelay) -> None:
-        second = _lead(_SECOND, [CallOutcome.refused])
-        async with serve(take_and_break, _FIRST, port):
+        second = _make_leader_handler(_SECOND, [CallOutcome.refused])
+        async with serve(break_after_call, _FIRST, port):
             await _wait_connected(relay)
             async with serve(second, _SECOND, port):
                 answer = await relay.call(_CALL, 2)
--- a/tests/shell/test_security.py
+++ b/tests/shell/test_security.py
@@ -1,4 +1,4 @@
-"""Credentials of processes."""
+"""Mutual TLS between processes."""
 
 import os
 import ssl
@@ -18,11 +18,11 @@
 )
 
 
-def _shake_hands(
+def _perform_handshake(
     client_context: ssl.SSLContext,
     credentials: ServerCredentials,
 ) -> tuple[PeerIdentity, PeerIdentity]:
-    """Connect in memory, and give whom each side sees."""
+    """Perform a handshake in memory; return each side's view of its peer."""
     to_server, to_client = ssl.MemoryBIO(), ssl.MemoryBIO()
     client = client_context.wrap_bio(to_client, to_server)
     server = credentials.context.wrap_bio(
@@ -41,24 +41,24 @@
 
 @pytest.fixture
 def authority() -> trustme.CA:
-    """Make an authority."""
+    """Create a certificate authority."""
     return trustme.CA()
 
 
 @pytest.fixture
 def server(tmp_path: Path, authority: trustme.CA) -> Security:
-    """Write a control process's certificate."""
+    """Write the certificate of a control process."""
     return write_certificate(tmp_path, authority, 'control-1', 'process')
 
 
-def test_both_sides_know_each_other(
+def test_both_sides_identify_each_other(
     tmp_path: Path,
     authority: trustme.CA,
     server: Security,
 ) -> None:
-    """Name and unit are read from verified certificates."""
+    """Read name and unit from verified certificates."""
     client = write_certificate(tmp_path, authority, 'ops', 'operator')
-    seen = _shake_hands(
+    seen = _perform_handshake(
         create_client_context(client),
         ServerCredentials(server),
     )
@@ -68,31 +68,27 @@
     )
 
 
-def test_stranger_is_refused(tmp_path: Path, server: Security) -> None:
-    """Refuse a process whose certificate another authority issued.
-
-    Somebody who reaches the port starts a process with a certificate of
-    their own. Let in, it could vote or read the digests of all keys.
-    """
-    folder = tmp_path / 'stranger'
+def test_certificate_of_another_authority_is_refused(
+    tmp_path: Path, server: Security
+) -> None:
+    """Guard against access with a certificate from another authority."""
+    folder = tmp_path / 'foreign'
     folder.mkdir()
-    stranger = write_certificate(folder, trustme.CA(), 'entry-1', 'process')
-    context = create_client_context(stranger)
+    foreign_client = write_certificate(
+        folder, trustme.CA(), 'entry-1', 'process'
+    )
+    context = create_client_context(foreign_client)
     context.load_verify_locations(server.authority)
     with pytest.raises(ssl.SSLError):
-        _shake_hands(context, ServerCredentials(server))
+        _perform_handshake(context, ServerCredentials(server))
 
 
-def test_new_certificate_needs_no_restart(
+def test_renewed_certificate_needs_no_restart(
     tmp_path: Path,
     authority: trustme.CA,
     server: Security,
 ) -> None:
-    """Use a certificate that was replaced while the process serves.
-
-    A certificate is about to run out and an operator puts a new one in its
-    place. Without a new reading the process is cut off when the old one ends.
-    """
+    """Guard against an expired certificate after the file was replaced."""
     credentials = ServerCredentials(server)
     client = create_client_context(server)
     before = credentials.context.get_ca_certs()
@@ -100,5 +96,5 @@
     write_certificate(tmp_path, authority, 'control-1', 'other')
     os.utime(server.certificate, ns=(1, 1))
     assert credentials.refresh()
-    assert _shake_hands(client, credentials)[0].unit == 'other'
+    assert _perform_handshake(client, credentials)[0].unit == 'other'
     assert credentials.context.get_ca_certs() == before
--- a/tests/shell/test_upstream_client.py
+++ b/tests/shell/test_upstream_client.py
@@ -1,4 +1,4 @@
-"""The client to upstreams against upstreams that misbehave."""
+"""HTTP client for upstreams, with upstreams that misbehave."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -59,12 +59,8 @@
         b'',
     ],
 )
-def test_answer_that_is_not_whole_is_no_answer(answer: bytes) -> None:
-    """Never pass on an answer that was cut or that contradicts itself.
-
-    An upstream dies in the middle of its answer, or declares another length
-    than it sends. Passed on, a caller would take half a roster for the whole.
-    """
+def test_incomplete_response_is_rejected(answer: bytes) -> None:
+    """Guard against forwarding truncated or contradictory responses."""
     attempt = _send_once(answer_with(answer))
     assert attempt == Attempt(AttemptResult.broken)
 
@@ -84,12 +80,12 @@
         ),
     ],
 )
-def test_whole_answer_is_passed(
+def test_complete_response_is_accepted(
     method: str,
     answer: bytes,
     body: bytes,
 ) -> None:
-    """Each way in which HTTP ends an answer is understood."""
+    """Accept each way in which HTTP delimits a response."""
     attempt = _send_once(answer_with(answer), method)
     assert attempt.response is not None
     assert attempt.response.body == body
@@ -108,8 +104,8 @@
     return attempts
 
 
-def _numbered(tail: bytes = b'', *, closes: bool = False) -> Play:
-    """Answer with the connection's number, then with a tail."""
+def _play_numbered(tail: bytes = b'', *, closes: bool = False) -> Play:
+    """Respond with the connection's number, followed by extra bytes."""
 
     async def play(
         reader: asyncio.StreamReader,
@@ -130,40 +126,32 @@
     return [one.response.body if one.response else b'' for one in attempts]
 
 
-def test_connection_is_used_again() -> None:
-    """A connection whose exchange was whole serves the next request."""
-    assert _get_bodies(_send_twice(_numbered())) == [b'1', b'1']
+def test_connection_is_reused() -> None:
+    """Reuse a connection after a complete exchange."""
+    assert _get_bodies(_send_twice(_play_numbered())) == [b'1', b'1']
 
 
-def test_stray_answer_reaches_nobody() -> None:
-    """Drop a connection on which bytes came that nobody asked for.
+def test_unexpected_response_is_discarded() -> None:
+    """Guard against a surplus response that reaches the next caller."""
+    surplus = _HEAD + b'Content-Length: 1\r\n\r\nX'
+    assert _get_bodies(_send_twice(_play_numbered(surplus))) == [b'1', b'2']
 
-    An upstream answers twice, or late. On a connection used again the second
-    answer would go to the next caller, who sees somebody else's roster.
-    """
-    stray = _HEAD + b'Content-Length: 1\r\n\r\nX'
-    assert _get_bodies(_send_twice(_numbered(stray))) == [b'1', b'2']
 
-
-def test_connection_closed_by_upstream_is_not_used() -> None:
-    """An upstream closes an idle connection; the next request is unharmed."""
-    closing = _send_twice(_numbered(closes=True))
-    assert _get_bodies(closing) == [b'1', b'2']
+def test_connection_closed_by_upstream_is_not_reused() -> None:
+    """Guard against sending on a connection that the upstream closed."""
+    attempts = _send_twice(_play_numbered(closes=True))
+    assert _get_bodies(attempts) == [b'1', b'2']
 
 
 def test_long_idle_connection_is_replaced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Replace a connection that has shown no life for long.
-
-    Something between loses track of an idle connection. A booking sent on it
-    would be answered by nobody and end as "unknown".
-    """
+    """Guard against a connection that a firewall or NAT has dropped."""
     monkeypatch.setattr(_connection_pool, 'MAX_IDLE_S', 0.01)
-    assert _get_bodies(_send_twice(_numbered())) == [b'1', b'2']
+    assert _get_bodies(_send_twice(_play_numbered())) == [b'1', b'2']
 
 
-async def _fall_silent(
+async def _stop_responding(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     number: int,
@@ -175,16 +163,15 @@
     await read_request(reader)
 
 
-def test_silent_connection_is_told_apart() -> None:
-    """Blame a connection that fell silent, and try a fresh one in time.
+def test_unresponsive_reused_connection_is_reported_as_silent() -> None:
+    """Guard against blaming the upstream for a dropped connection.
 
-    The way lost track of a connection that was used a moment ago. Half of
-    the time to the deadline is left for a fresh connection.
+    Half of the time to the deadline is left for a new connection.
     """
 
     async def run() -> list[Attempt]:
         client = UpstreamClient()
-        async with run_script(_fall_silent) as upstream:
+        async with run_script(_stop_responding) as upstream:
             start = make_start(upstream, 0.3, is_repeatable=True)
             return [
                 await client.send(start, make_request('GET', b''))
@@ -199,12 +186,8 @@
     ]
 
 
-def test_late_answer_reaches_nobody() -> None:
-    """Never use a connection again whose exchange was given up.
-
-    The upstream answers after the deadline. The answer must not be read as
-    that of the next request.
-    """
+def test_late_response_is_discarded() -> None:
+    """Guard against a late response that is read as the next one."""
 
     async def play(
         reader: asyncio.StreamReader,
@@ -230,8 +213,8 @@
     assert _get_bodies([second]) == [b'2']
 
 
-def test_early_answer_to_an_unfinished_upload_is_no_answer() -> None:
-    """An upstream answers before it has the whole booking."""
+def test_response_during_the_upload_is_rejected() -> None:
+    """Guard against a response to an incomplete request."""
 
     async def play(
         reader: asyncio.StreamReader,
@@ -252,7 +235,7 @@
 
 
 def test_refused_connection_is_not_sent() -> None:
-    """No byte has left where no connection was made."""
+    """Report a refused connection as not sent."""
 
     async def run() -> Attempt:
         client = UpstreamClient()
@@ -263,13 +246,8 @@
     assert _run(run()) == Attempt(AttemptResult.not_sent)
 
 
-def test_decision_of_an_ended_lease_is_not_sent() -> None:
-    """Send nothing once the lease has ended under which it was decided.
-
-    The process is frozen between its decision and the sending, and goes on
-    when its lease has long ended. The team's key may be withdrawn by then,
-    and its limit in use elsewhere.
-    """
+def test_attempt_is_not_sent_after_the_lease() -> None:
+    """Guard against sending after the lease has ended during a suspension."""
 
     async def run() -> Attempt:
         client = UpstreamClient()
@@ -280,12 +258,12 @@
     assert _run(run()) == Attempt(AttemptResult.not_sent)
 
 
-def test_connections_are_bounded() -> None:
-    """No more connections than the pool allows are opened."""
+def test_connection_limit_is_enforced() -> None:
+    """Guard against more connections than the limit."""
 
     async def run() -> list[Attempt]:
         client = UpstreamClient()
-        async with run_script(_numbered()) as upstream:
+        async with run_script(_play_numbered()) as upstream:
             start = make_start(upstream, connection_limit=1)
             return list(
                 await asyncio.gather(
@@ -299,11 +277,11 @@
 
 
 def test_new_incarnation_gets_new_connections() -> None:
-    """Connections to a former start of the upstream are dropped."""
+    """Guard against connections to an earlier start of the upstream."""
 
     async def run() -> list[Attempt]:
         client = UpstreamClient()
-        async with run_script(_numbered()) as upstream:
+        async with run_script(_play_numbered()) as upstream:
             fresh = upstream._replace(incarnation=2)
             return [
                 await client.send(make_start(one), make_request())
@@ -313,8 +291,8 @@
     assert _get_bodies(_run(run())) == [b'1', b'2']
 
 
-def test_key_and_hop_headers_stay_here() -> None:
-    """The upstream sees no key and nothing of the caller's connection."""
+def test_key_and_hop_headers_are_not_forwarded() -> None:
+    """Guard against forwarding the key or hop-by-hop headers."""
     seen: list[bytes] = []
 
     async def play(
