--- a/src/sardinemast/shell/_caller_http.py
+++ b/src/sardinemast/shell/_caller_http.py
@@ -1,4 +1,4 @@
-"""Callers' and upstreams' HTTP at an entry."""
+"""HTTP server of an entry for callers and upstreams."""
 
 import json
 from http import HTTPStatus
@@ -31,15 +31,15 @@
 from sardinemast.shell._request_heads import encode_refusal, refuse_malformed
 from sardinemast.wire import WireError, load_plain
 
-_OWN_PATHS = '/-/'
+_INTERNAL_PATH_PREFIX = '/-/'
 _IDLE_TIMEOUT_S = 60.0
 _BODY_TIMEOUT_S = 30.0
 _KIB_BYTES = 1024
-_LARGEST_BODY_BYTES = _KIB_BYTES**4
-_ANNOUNCEMENT_BYTES = _KIB_BYTES**2
+_MAX_BODY_BYTES = _KIB_BYTES**4
+_MAX_ANNOUNCEMENT_BYTES = _KIB_BYTES**2
 _READ_CHUNK_BYTES = 16384
-_BARE_REFUSAL = b'HTTP/1.1 400 Bad Request\r\n\r\n'
-_MALFORMED_HEAD = (
+_TORNADO_BAD_REQUEST = b'HTTP/1.1 400 Bad Request\r\n\r\n'
+_BAD_REQUEST_HEAD = (
     'HTTP/1.1 400 Bad Request\r\n'
     'Content-Type: application/json\r\n'
     f'{OUTCOME_HEADER}: not run\r\n'
@@ -54,31 +54,31 @@
 )
 
 
-class _Shell(CallerHandler, Protocol):
+class _EntryServer(CallerHandler, Protocol):
     identity: Identity
     loop: Any
-    measures: EntryMetrics
+    metrics: EntryMetrics
 
     def is_ready(self) -> bool:
-        """Tell whether the entry may serve."""
+        """Check whether the entry is ready to serve requests."""
 
     def holds_keys(self) -> bool:
-        """Tell whether the entry votes on idempotency keys."""
+        """Check whether the entry has received the keys of other holders."""
 
 
-class _PageHandler(RequestHandler):
-    """Serve a page of the entry itself."""
+class _InternalHandler(RequestHandler):
+    """Base class for the endpoints of the entry itself."""
 
-    def initialize(self, shell: _Shell) -> None:
-        """Take the entry's shell."""
-        self._shell = shell
+    def initialize(self, entry_server: _EntryServer) -> None:
+        """Store the entry that is served."""
+        self._entry_server = entry_server
 
 
-class AnnounceHandler(_PageHandler):
-    """Take an upstream's announcement."""
+class AnnounceHandler(_InternalHandler):
+    """Accept announcements of upstreams."""
 
     def post(self) -> None:
-        """Pass the announcement on."""
+        """Validate an announcement and deliver it to the core."""
         try:
             announcement = _read_announcement(self.request.body)
         except _ANNOUNCEMENT_ERRORS:
@@ -86,107 +86,116 @@
             self.finish(
                 {
                     'code': 'membership.E001',
-                    'text': 'Send a JSON map with the fields '
+                    'text': 'Send a JSON object with the fields '
                     f'{", ".join(Announcement._fields)}; host is an IP '
-                    'address, incarnation and port are whole numbers.',
+                    'address, incarnation and port are integers.',
                 },
             )
             return
-        self._shell.loop.put(entry.UpstreamAnnounced(announcement))
+        self._entry_server.loop.put(entry.UpstreamAnnounced(announcement))
         self.finish({'status': 'heard'})
 
 
-class MetricsHandler(_PageHandler):
-    """Show what this entry measures, for the usual collectors."""
+class MetricsHandler(_InternalHandler):
+    """Serve the metrics of this entry in the Prometheus format."""
 
     def get(self) -> None:
-        """Give all metrics as text."""
-        is_ready = self._shell.is_ready()
+        """Return all metrics as text."""
+        is_ready = self._entry_server.is_ready()
         self.set_header('Content-Type', CONTENT_TYPE_LATEST)
-        self.finish(self._shell.measures.render(is_ready=is_ready))
+        self.finish(self._entry_server.metrics.render(is_ready=is_ready))
 
 
-class LatenciesHandler(_PageHandler):
-    """Show histograms that can be merged with those of other entries."""
+class LatenciesHandler(_InternalHandler):
+    """Serve latency histograms that can be merged across entries."""
 
     def get(self) -> None:
-        """Give the encoded histograms."""
-        self.finish({'latencies': self._shell.measures.encode_latencies()})
+        """Return the encoded histograms."""
+        self.finish(
+            {'latencies': self._entry_server.metrics.encode_latencies()}
+        )
 
 
-class HealthHandler(_PageHandler):
-    """Tell the balancer whether to send requests here."""
+class HealthHandler(_InternalHandler):
+    """Serve the health check of the load balancer."""
 
     def get(self) -> None:
-        """Answer 200 with a lease and 503 without.
+        """Return 200 if the entry is ready to serve, else 503.
 
-        An entry that does not hold keys yet serves all the same: the other
-        holders are enough. Only one more that stops then would be missed.
+        ``holds_keys`` does not affect the status, because the other holders
+        suffice. While it is false, no further entry should be stopped.
         """
-        is_ready = self._shell.is_ready()
+        is_ready = self._entry_server.is_ready()
         if not is_ready:
             self.set_status(HTTPStatus.SERVICE_UNAVAILABLE)
         self.finish(
-            {'is_ready': is_ready, 'holds_keys': self._shell.holds_keys()},
+            {
+                'is_ready': is_ready,
+                'holds_keys': self._entry_server.holds_keys(),
+            },
         )
 
 
-class _CallerServer(HTTPServerConnectionDelegate):
-    """Give each request to the entry's own pages or to the way upstream.
+class _CallerDelegate(HTTPServerConnectionDelegate):
+    """Route requests to the entry's endpoints or to upstreams.
 
-    The framework's handlers would cost a request more than all decisions
-    about it; docs/design/upstream-client.md has the figures.
+    Requests for upstreams bypass Tornado's request handlers to reduce their
+    cost; see docs/design/upstream-client.md.
     """
 
-    def __init__(self, shell: _Shell, pages: Application) -> None:
-        self._shell = shell
-        self._pages = pages
+    def __init__(
+        self, entry_server: _EntryServer, application: Application
+    ) -> None:
+        self._entry_server = entry_server
+        self._application = application
 
     def start_request(
         self,
         server_conn: object,
         request_conn: HTTPConnection,
     ) -> HTTPMessageDelegate:
-        """Take the next request of a connection."""
-        return _Switch(self._shell, self._pages, server_conn, request_conn)
+        """Create the delegate for the next request of a connection."""
+        return _RoutingDelegate(
+            self._entry_server, self._application, server_conn, request_conn
+        )
 
 
-class _Switch(HTTPMessageDelegate):
+class _RoutingDelegate(HTTPMessageDelegate):
     def __init__(
         self,
-        shell: _Shell,
-        pages: Application,
+        entry_server: _EntryServer,
+        application: Application,
         server_conn: object,
         request_conn: HTTPConnection,
     ) -> None:
-        self._shell = shell
-        self._pages = pages
+        self._entry_server = entry_server
+        self._application = application
         self._server_conn = server_conn
         self._request_conn = request_conn
-        self._chosen: HTTPMessageDelegate | None = None
+        self._delegate: HTTPMessageDelegate | None = None
 
     def headers_received(
         self,
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> Any:
-        self._chosen = self._choose(start_line)
-        return self._chosen.headers_received(start_line, headers)
+        self._delegate = self._select_delegate(start_line)
+        return self._delegate.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Any:
-        if self._chosen is not None:
-            return self._chosen.data_received(chunk)
+        if self._delegate is not None:
+            return self._delegate.data_received(chunk)
         return None
 
     def finish(self) -> None:
-        if self._chosen is not None:
-            self._chosen.finish()
+        if self._delegate is not None:
+            self._delegate.finish()
 
     def on_connection_close(self) -> None:
-        if self._chosen is not None:
-            self._chosen.on_connection_close()
+        if self._delegate is not None:
+            self._delegate.on_connection_close()
 
-    def _choose(
+    def _select_delegate(
         self,
         start_line: RequestStartLine | ResponseStartLine,
     ) -> HTTPMessageDelegate:
@@ -195,48 +204,58 @@
             raise TypeError(connection)
         if isinstance(
             start_line, RequestStartLine
-        ) and start_line.path.startswith(_OWN_PATHS):
-            connection.set_max_body_size(_ANNOUNCEMENT_BYTES)
-            return self._pages.start_request(self._server_conn, connection)
+        ) and start_line.path.startswith(_INTERNAL_PATH_PREFIX):
+            connection.set_max_body_size(_MAX_ANNOUNCEMENT_BYTES)
+            return self._application.start_request(
+                self._server_conn, connection
+            )
         remote_ip = getattr(connection.context, 'remote_ip', '')
-        return CallerExchange(self._shell, connection, remote_ip)
+        return CallerExchange(self._entry_server, connection, remote_ip)
 
 
-class _CallerStream(IOStream):
-    """Give the framework's bare answer to a malformed request a body."""
+class _CallerIOStream(IOStream):
+    """Replace Tornado's bare 400 response by one with a refusal."""
 
     def write(self, data: bytes | memoryview) -> Any:
-        if data == _BARE_REFUSAL:
+        if data == _TORNADO_BAD_REQUEST:
             encoded = encode_refusal(refuse_malformed())
-            head = _MALFORMED_HEAD.format(length=len(encoded))
+            head = _BAD_REQUEST_HEAD.format(length=len(encoded))
             data = head.encode() + encoded
         return super().write(data)
 
 
 class _CallerHttpServer(HTTPServer):
     def handle_stream(self, stream: IOStream, address: Any) -> None:
-        own = _CallerStream(stream.socket, read_chunk_size=_READ_CHUNK_BYTES)
-        super().handle_stream(own, address)
+        wrapped = _CallerIOStream(
+            stream.socket, read_chunk_size=_READ_CHUNK_BYTES
+        )
+        super().handle_stream(wrapped, address)
 
 
-def listen_for_callers(shell: _Shell, address: Address) -> HTTPServer:
-    """Open the callers' port."""
-    options = {'shell': shell}
-    pages = Application(
+def listen_for_callers(
+    entry_server: _EntryServer, address: Address
+) -> HTTPServer:
+    """Start the HTTP server for callers and upstreams."""
+    options = {'entry_server': entry_server}
+    application = Application(
         [
             ('/-/announce', AnnounceHandler, options),
             ('/-/health', HealthHandler, options),
             ('/-/metrics', MetricsHandler, options),
             ('/-/latencies', LatenciesHandler, options),
-            ('/-/timeline', TimelineHandler, {'identity': shell.identity}),
+            (
+                '/-/timeline',
+                TimelineHandler,
+                {'identity': entry_server.identity},
+            ),
         ],
-        log_function=_skip_log,
+        log_function=_log_nothing,
     )
     server = _CallerHttpServer(
-        _CallerServer(shell, pages),
+        _CallerDelegate(entry_server, application),
         max_header_size=MAX_HEAD_BYTES,
-        # Each pool's own limit holds instead; see CallerExchange.
-        max_body_size=_LARGEST_BODY_BYTES,
+        # CallerExchange enforces the limit of each pool.
+        max_body_size=_MAX_BODY_BYTES,
         idle_connection_timeout=_IDLE_TIMEOUT_S,
         body_timeout=_BODY_TIMEOUT_S,
     )
@@ -257,5 +276,5 @@
     return announcement
 
 
-def _skip_log(handler: RequestHandler) -> None:
-    """Leave the access log to the time line."""
+def _log_nothing(handler: RequestHandler) -> None:
+    """Disable Tornado's access log; the timeline records requests."""
--- a/src/sardinemast/shell/_entry_peers.py
+++ b/src/sardinemast/shell/_entry_peers.py
@@ -1,4 +1,4 @@
-"""Streams between entries, over which they hold idempotency keys."""
+"""Streams between entries that replicate idempotency keys."""
 
 import asyncio
 import time
@@ -29,7 +29,7 @@
 
 
 class EntryPeers:
-    """Own the core of idempotency keys and the streams to other entries."""
+    """Run the idempotency core and keep streams to the other entries."""
 
     def __init__(self, identity: Identity, access: Access) -> None:
         own = idempotency.Member(identity.name, identity.incarnation)
@@ -43,16 +43,16 @@
         self._epoch = 0
         self._addresses: dict[str, Address] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._outboxes: dict[str, PeerSender] = {}
+        self._senders: dict[str, PeerSender] = {}
         self._deciding: dict[int, Decide] = {}
 
     def holds_keys(self) -> bool:
-        """Tell whether another entry may stop without keys being refused."""
+        """Check whether this entry has received the keys of other holders."""
         return self._core.holds_keys(time.monotonic())
 
     @asynccontextmanager
     async def listen(self, host: str) -> AsyncIterator[Address]:
-        """Keep a port for other entries open, and give its address."""
+        """Listen for other entries, and yield the address."""
         async with serve(
             self._read,
             host,
@@ -71,12 +71,12 @@
         wanted: idempotency.ClaimRequested,
         decide: Decide,
     ) -> None:
-        """Ask whether a request may run."""
+        """Claim an idempotency key and report the decision to a callback."""
         self._deciding[wanted.request_id] = decide
         self.loop.put(wanted)
 
-    def take_entries(self, entries: Iterable[EntryProcess]) -> None:
-        """Take the entries as the state has them."""
+    def update_entries(self, entries: Iterable[EntryProcess]) -> None:
+        """Update the members and streams from the replicated state."""
         known = tuple(entries)
         epoch = max((one.log_index for one in known), default=0)
         if epoch <= self._epoch:
@@ -101,16 +101,16 @@
         former = self._tasks.get(name)
         if former is not None:
             former.cancel()
-        link = PeerSender(self._identity, address, self._access)
+        sender = PeerSender(self._identity, address, self._access)
         self._addresses[name] = address
-        self._outboxes[name] = link
-        self._tasks[name] = asyncio.create_task(link.run())
+        self._senders[name] = sender
+        self._tasks[name] = asyncio.create_task(sender.run())
 
-    async def _read(self, link: ServerConnection) -> None:
+    async def _read(self, websocket: ServerConnection) -> None:
         with suppress(ConnectionClosed, WireError):
-            async for frame in link:
+            async for frame in websocket:
                 envelope = decode_frame_from(
-                    link,
+                    websocket,
                     frame,
                     self._identity,
                     self._access,
@@ -127,9 +127,9 @@
 
     @_execute.register
     def _execute_send(self, output: idempotency.SendToPeer) -> None:
-        link = self._outboxes.get(output.entry)
-        if link is not None:
-            link.send(idempotency.PEER_MESSAGES.pack(output.message))
+        sender = self._senders.get(output.entry)
+        if sender is not None:
+            sender.send(idempotency.PEER_MESSAGES.pack(output.message))
 
     @_execute.register
     def _execute_decision(self, output: idempotency.ClaimDecided) -> None:
--- a/src/sardinemast/shell/_operator_http.py
+++ b/src/sardinemast/shell/_operator_http.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP: commands and queries."""
+"""HTTP server for operators: commands and queries."""
 
 import asyncio
 import time
@@ -22,15 +22,14 @@
 from sardinemast.shell._security import Access
 from sardinemast.wire import WireError, dump_plain
 
-# A command must fit into one frame between control processes.
-_BODY_LIMIT_BYTES = 4 * 1024 * 1024
+# Keeps a command within one frame between control processes.
+_MAX_BODY_BYTES = 4 * 1024 * 1024
 _ANSWER_TIMEOUT_S = 10.0
-# A sync takes 4 to 9 ms.
-_SETTLE_S = 0.002
+_DURABILITY_POLL_S = 0.002
 
 
 class OperatorService:
-    """Pair operators' requests with the answers of the core."""
+    """Submit operators' commands to the core and wait for its answers."""
 
     def __init__(
         self,
@@ -42,33 +41,33 @@
         self.identity = identity
         self.access = access
         self._put: Callable[[control.ControlEvent], None] | None = None
-        self._is_waiting: Callable[[], bool] = bool
+        self._is_core_blocked: Callable[[], bool] = bool
         self._request_ids = count(1)
-        self._waiting: dict[int, asyncio.Future[control.OperatorAnswer]] = {}
+        self._pending: dict[int, asyncio.Future[control.OperatorAnswer]] = {}
 
     def attach(
         self,
         put: Callable[[control.ControlEvent], None],
-        is_waiting: Callable[[], bool],
+        is_core_blocked: Callable[[], bool],
     ) -> None:
-        """Take the way to the core, and whether its writes are under way."""
+        """Connect to the core's inbox and to the check for pending outputs."""
         self._put = put
-        self._is_waiting = is_waiting
+        self._is_core_blocked = is_core_blocked
 
-    async def settle(self) -> None:
-        """Wait until all that the core's state holds is safe.
+    async def wait_until_durable(self) -> None:
+        """Wait until the state of the core is durable.
 
-        Read sooner, a single control process could show a change that a loss
-        of power takes back.
+        Otherwise a single control process could show a change that is lost in
+        a power failure.
         """
-        while self._is_waiting():
-            await asyncio.sleep(_SETTLE_S)
+        while self._is_core_blocked():
+            await asyncio.sleep(_DURABILITY_POLL_S)
 
     async def ask(self, command: Any) -> control.OperatorAnswer:
-        """Hand a command to the core and wait for the answer."""
+        """Submit a command to the core and wait for the answer."""
         request_id = next(self._request_ids)
         answer = asyncio.get_running_loop().create_future()
-        self._waiting[request_id] = answer
+        self._pending[request_id] = answer
         if self._put is not None:
             self._put(
                 control.CommandRequested(request_id, command, time.time()),
@@ -76,13 +75,13 @@
         try:
             return await asyncio.wait_for(answer, _ANSWER_TIMEOUT_S)
         finally:
-            self._waiting.pop(request_id, None)
+            self._pending.pop(request_id, None)
 
     def answer(self, output: control.AnswerOperator) -> None:
-        """Pass an answer to whoever waits for it."""
-        waiting = self._waiting.get(output.request_id)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(output.answer)
+        """Resolve the pending request of an answer."""
+        pending = self._pending.get(output.request_id)
+        if pending is not None and not pending.done():
+            pending.set_result(output.answer)
             self.identity.recorder.record(
                 'operator answered',
                 index=output.answer.log_index,
@@ -92,17 +91,17 @@
 
 
 class CommandHandler(OperatorHandler):
-    """Take one command as CBOR and answer when it is in force."""
+    """Accept a command as CBOR and respond once it is in force."""
 
     async def post(self) -> None:
-        """Replicate the command."""
+        """Decode and replicate a command."""
         try:
             command = OPERATOR_COMMANDS.decode(self.request.body)
         except WireError as error:
             self.refuse(HTTPStatus.BAD_REQUEST, error.code, error.text)
             return
         try:
-            answer = await self.desk.ask(command)
+            answer = await self.service.ask(command)
         except TimeoutError:
             self._refuse_unknown()
             return
@@ -115,8 +114,8 @@
         self.refuse(
             HTTPStatus.GATEWAY_TIMEOUT,
             'control.E002',
-            'No majority answered in time; it may still be accepted. '
-            'Send it again with the same command id.',
+            'No majority answered in time; the command may still be '
+            'accepted. Resend it with the same command id.',
         )
 
     def _write_answer(self, answer: control.OperatorAnswer) -> None:
@@ -124,7 +123,7 @@
             self.refuse(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 'control.E001',
-                'This process does not lead.',
+                'This process is not the leader.',
             )
             return
         if not answer.outcome.is_accepted:
@@ -142,22 +141,22 @@
 
 
 class StateHandler(LeaderHandler):
-    """Show the state, as the leader has it."""
+    """Serve the replicated state."""
 
     async def get(self) -> None:
-        """Give the state, or the leader to ask."""
-        await self.desk.settle()
-        self.finish(describe_state(self.desk.core.state))
+        """Return the state once it is durable."""
+        await self.service.wait_until_durable()
+        self.finish(describe_state(self.service.core.state))
 
 
 class DiffHandler(LeaderHandler):
-    """Show what differs between two versions of the document."""
+    """Serve the differences between two versions of the document."""
 
     async def get(self, before: str, after: str) -> None:
-        """Give the fields that differ."""
-        await self.desk.settle()
+        """Return the changed fields."""
+        await self.service.wait_until_durable()
         changes = diff_versions(
-            self.desk.core.state,
+            self.service.core.state,
             int(before),
             int(after),
         )
@@ -165,46 +164,46 @@
             self.refuse(
                 HTTPStatus.NOT_FOUND,
                 'fleet.E007',
-                'One of the versions is not kept.',
+                'One of the versions is not stored.',
             )
             return
         self.finish({'changes': _list_records(changes)})
 
 
 class TimelineHandler(RequestHandler):
-    """Show the events of this process."""
+    """Serve the recorded events of this process."""
 
     def initialize(self, identity: Identity) -> None:
-        """Take the process whose events are shown."""
+        """Store the identity of the process."""
         self.identity = identity
 
     def get(self) -> None:
-        """Give all events that are kept."""
+        """Return the recorded events."""
         events = self.identity.recorder.get_events()
         self.finish({'events': dump_plain(events)})
 
 
 def listen_for_operators(
-    desk: OperatorService,
+    service: OperatorService,
     address: Address,
     more_routes: Sequence[Any] = (),
 ) -> HTTPServer:
-    """Open the operators' port."""
-    options = {'desk': desk}
+    """Start the HTTP server for operators."""
+    options = {'service': service}
     application = Application(
         [
             ('/v1/commands', CommandHandler, options),
             ('/v1/state', StateHandler, options),
             (r'/v1/diff/(\d{1,9})/(\d{1,9})', DiffHandler, options),
             *more_routes,
-            ('/-/timeline', TimelineHandler, {'identity': desk.identity}),
+            ('/-/timeline', TimelineHandler, {'identity': service.identity}),
         ],
-        log_function=_skip_log,
+        log_function=_log_nothing,
     )
     server = HTTPServer(
         application,
-        max_body_size=_BODY_LIMIT_BYTES,
-        ssl_options=desk.access.server_context,
+        max_body_size=_MAX_BODY_BYTES,
+        ssl_options=service.access.server_context,
     )
     server.listen(address.port, address.host)
     return server
@@ -214,5 +213,5 @@
     return [record._asdict() for record in records]
 
 
-def _skip_log(handler: RequestHandler) -> None:
-    """Leave the access log to the time line."""
+def _log_nothing(handler: RequestHandler) -> None:
+    """Disable Tornado's access log; the timeline records requests."""
--- a/src/sardinemast/shell/_peer_senders.py
+++ b/src/sardinemast/shell/_peer_senders.py
@@ -1,4 +1,4 @@
-"""Streams of a control process to its peers."""
+"""Streams from a control process to its peers."""
 
 import asyncio
 
@@ -10,10 +10,10 @@
 
 
 class PeerSenders:
-    """Hold a stream to each peer, those that come later included.
+    """Keep a stream to each peer, including peers that join later.
 
-    In a cluster a replica is named by its host, so that one that joins is
-    reached without anybody being told its address.
+    In a cluster the name of a replica is its host, so the address of a peer
+    that joins follows from its name.
     """
 
     def __init__(
@@ -30,29 +30,29 @@
             for one in settings.controls
             if one.name != settings.name
         }
-        self._links: dict[str, PeerSender] = {}
+        self._senders: dict[str, PeerSender] = {}
         self._tasks: asyncio.TaskGroup | None = None
 
     def start(self, tasks: asyncio.TaskGroup) -> None:
-        """Connect to the peers that the settings name."""
+        """Connect to the peers named in the settings."""
         self._tasks = tasks
         for name in self._addresses:
-            self._get(name)
+            self._get_sender(name)
 
     def send(self, output: SendMessage) -> None:
-        """Send a message to a peer, or drop it where none is reached."""
-        link = self._get(output.to)
-        if link is not None:
-            link.send(pack_routed_message(output))
+        """Send a message to a peer, or drop it if its address is unknown."""
+        sender = self._get_sender(output.to)
+        if sender is not None:
+            sender.send(pack_routed_message(output))
 
-    def _get(self, name: str) -> PeerSender | None:
-        link = self._links.get(name)
+    def _get_sender(self, name: str) -> PeerSender | None:
+        sender = self._senders.get(name)
         address = self._find_address(name)
-        if link is None and address is not None and self._tasks is not None:
-            link = PeerSender(self._identity, address, self._access)
-            self._links[name] = link
-            self._tasks.create_task(link.run())
-        return link
+        if sender is None and address is not None and self._tasks is not None:
+            sender = PeerSender(self._identity, address, self._access)
+            self._senders[name] = sender
+            self._tasks.create_task(sender.run())
+        return sender
 
     def _find_address(self, name: str) -> Address | None:
         known = self._addresses.get(name)
--- a/tests/shell/test_call_forwarder.py
+++ b/tests/shell/test_call_forwarder.py
@@ -1,4 +1,4 @@
-"""Calls of entries that a control process passes on to the leader."""
+"""Forwarding of calls from entries to the leader."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -31,7 +31,7 @@
 
 
 class FakeRelay:
-    """Stand for the stream to the leader."""
+    """Fake the stream to the leader."""
 
     def __init__(self) -> None:
         self.is_connected = True
@@ -41,7 +41,7 @@
         self.may_answer = asyncio.Event()
 
     async def call(self, call: Call, timeout_s: float) -> CallAnswer:
-        """Answer once the test says so."""
+        """Answer once ``may_answer`` is set."""
         self.calls.append(call)
         await self.may_answer.wait()
         return CallAnswer(CallOutcome.done)
@@ -53,20 +53,20 @@
 
 async def _run_test(test: Test) -> None:
     relay = FakeRelay()
-    passing = CallForwarder(
+    forwarder = CallForwarder(
         relay,  # type: ignore[arg-type]
         create_identity('control-1'),
         Access(None),
     )
-    async with serve(passing.read, _HOST, 0) as server:
+    async with serve(forwarder.serve_stream, _HOST, 0) as server:
         port = server.sockets[0].getsockname()[1]
-        async with connect(f'ws://{_HOST}:{port}', proxy=None) as link:
+        async with connect(f'ws://{_HOST}:{port}', proxy=None) as websocket:
             async with asyncio.timeout(5):
-                await test(link, relay)
+                await test(websocket, relay)
 
 
-async def _receive(link: ClientConnection) -> LeaderMessage:
-    frame = await link.recv()
+async def _receive(websocket: ClientConnection) -> LeaderMessage:
+    frame = await websocket.recv()
     assert isinstance(frame, bytes)
     message: LeaderMessage = LEADER_MESSAGES.unpack(
         decode_frame(_ENTRY, frame).body,
@@ -74,55 +74,55 @@
     return message
 
 
-async def _wait_for(link: ClientConnection, wanted: type) -> LeaderMessage:
+async def _wait_for(websocket: ClientConnection, wanted: type) -> LeaderMessage:
     while True:
-        message = await _receive(link)
+        message = await _receive(websocket)
         if isinstance(message, wanted):
             return message
 
 
-async def _send(link: ClientConnection, call_id: int) -> None:
-    await link.send(encode_frame(_ENTRY, pack_call(PassCall(call_id, _CALL))))
+async def _send(websocket: ClientConnection, call_id: int) -> None:
+    await websocket.send(
+        encode_frame(_ENTRY, pack_call(PassCall(call_id, _CALL)))
+    )
 
 
-def test_answer_comes_back_under_the_number_of_its_call() -> None:
-    """Each caller gets the answer to its own call."""
+def test_answer_carries_the_id_of_its_call() -> None:
+    """Guard against an answer that reaches the wrong caller."""
 
-    async def test(link: ClientConnection, relay: FakeRelay) -> None:
+    async def test(websocket: ClientConnection, relay: FakeRelay) -> None:
         relay.may_answer.set()
-        await _send(link, 7)
-        answer = await _wait_for(link, PassAnswer)
+        await _send(websocket, 7)
+        answer = await _wait_for(websocket, PassAnswer)
         assert answer == PassAnswer(7, CallAnswer(CallOutcome.done))
 
     _run(test)
 
 
-def test_call_that_is_sent_again_is_passed_on_once() -> None:
-    """After a change of leader entries send again what has no answer yet.
-
-    Passed on each time, the calls of a hundred entries would come to the new
-    leader twice, by this process and by its own resend.
-    """
+def test_resent_call_is_forwarded_once() -> None:
+    """Guard against doubling the calls that reach a new leader."""
 
-    async def test(link: ClientConnection, relay: FakeRelay) -> None:
-        await _send(link, 7)
-        await _send(link, 7)
+    async def test(websocket: ClientConnection, relay: FakeRelay) -> None:
+        await _send(websocket, 7)
+        await _send(websocket, 7)
         await asyncio.sleep(0.1)
         assert len(relay.calls) == 1
         relay.may_answer.set()
-        await _wait_for(link, PassAnswer)
+        await _wait_for(websocket, PassAnswer)
 
     _run(test)
 
 
-def test_entry_hears_that_a_leader_is_lost_and_found() -> None:
-    """Its callers are refused at once and truly while there is none."""
+def test_entry_is_told_of_loss_and_return_of_the_leader() -> None:
+    """Guard against calls that wait while no leader is known."""
 
-    async def test(link: ClientConnection, relay: FakeRelay) -> None:
-        assert await _receive(link) == LeaderBeat(relay.leader, relay.controls)
+    async def test(websocket: ClientConnection, relay: FakeRelay) -> None:
+        assert await _receive(websocket) == LeaderBeat(
+            relay.leader, relay.controls
+        )
         relay.is_connected = False
-        assert await _wait_for(link, NotLeader) == NotLeader('')
+        assert await _wait_for(websocket, NotLeader) == NotLeader('')
         relay.is_connected = True
-        await _wait_for(link, LeaderBeat)
+        await _wait_for(websocket, LeaderBeat)
 
     _run(test)
