--- a/bench/policies.py
+++ b/bench/policies.py
@@ -19,31 +19,31 @@
 from sardinemast.dispatch._stragglers import StragglerDetector
 from sardinemast.model import (
     REGISTRY_DAY,
-    DayFigures,
-    Trouble,
-    VirtualFleet,
-    Weights,
+    DayResults,
+    Disruption,
+    FleetSimulation,
+    ScoreWeights,
 )
 
 _SEEDS = 24
 # Of a normal distribution, 95 in 100 lie within so many deviations.
 _CONFIDENCE = 1.96
-_WEIGHTS = Weights()
+_WEIGHTS = ScoreWeights()
 _MIX = frozenset(
     (
-        Trouble.wave,
-        Trouble.rack_dark,
-        Trouble.workers_slow,
-        Trouble.control_restarted,
+        Disruption.wave,
+        Disruption.rack_power_lost,
+        Disruption.workers_slow,
+        Disruption.control_restarted,
     ),
 )
 _DAYS = MappingProxyType(
     {
         'quiet': REGISTRY_DAY,
         'workers slow': REGISTRY_DAY._replace(
-            troubles=frozenset((Trouble.workers_slow,)),
+            disruptions=frozenset((Disruption.workers_slow,)),
         ),
-        'mix': REGISTRY_DAY._replace(troubles=_MIX),
+        'mix': REGISTRY_DAY._replace(disruptions=_MIX),
     },
 )
 
@@ -115,7 +115,7 @@
             sys.stdout.writelines(_iterate_lines(figures))
 
 
-def play(variant: Variant, day: str, seed: int) -> DayFigures:
+def play(variant: Variant, day: str, seed: int) -> DayResults:
     """Play one day; what is switched off is so in this process alone."""
     with ExitStack() as stack:
         if variant.owner is not None:
@@ -126,13 +126,13 @@
                     variant.stand_in,
                 ),
             )
-        return VirtualFleet(_DAYS[day], variant.settings, seed).play()
+        return FleetSimulation(_DAYS[day], variant.settings, seed).run()
 
 
-def _iterate_lines(figures: dict[str, list[DayFigures]]) -> Iterator[str]:
-    base = [one.get_worth(_WEIGHTS) for one in figures[VARIANTS[0].name]]
+def _iterate_lines(figures: dict[str, list[DayResults]]) -> Iterator[str]:
+    base = [one.compute_score(_WEIGHTS) for one in figures[VARIANTS[0].name]]
     for name, days in figures.items():
-        worths = [one.get_worth(_WEIGHTS) for one in days]
+        worths = [one.compute_score(_WEIGHTS) for one in days]
         differences = [
             worth - other for worth, other in zip(worths, base, strict=True)
         ]
@@ -143,11 +143,11 @@
             f' on time {_mean(days, "on_time"):.3f}'
             f' queue {_mean(days, "worst_queue"):.3f}'
             f' team {_mean(days, "worst_team"):.3f}'
-            f' span {_mean(days, "worst_span"):.3f}'
+            f' span {_mean(days, "worst_interval"):.3f}'
             f' worker-s {_mean(days, "worker_seconds"):.0f}'
             f' moves {_mean(days, "moves"):.0f}\n'
         )
 
 
-def _mean(days: list[DayFigures], field: str) -> float:
+def _mean(days: list[DayResults], field: str) -> float:
     return fmean(getattr(one, field) for one in days)
--- a/src/sardinemast/model/__init__.py
+++ b/src/sardinemast/model/__init__.py
@@ -1,23 +1,23 @@
-"""A model of the systems that the product serves, in virtual time."""
+"""Simulation of a fleet and its workload in virtual time."""
 
 from sardinemast.model._days import ENROLMENT_DAY, REGISTRY_DAY
-from sardinemast.model._fleet import VirtualFleet
-from sardinemast.model._ledger import DayFigures, Weights
+from sardinemast.model._ledger import DayResults, ScoreWeights
+from sardinemast.model._fleet import FleetSimulation
 from sardinemast.model._patterns import (
     DayPattern,
+    Disruption,
+    Distribution,
     QueuePattern,
-    Sizes,
-    Trouble,
 )
 
 __all__ = (
     'ENROLMENT_DAY',
     'REGISTRY_DAY',
-    'DayFigures',
     'DayPattern',
+    'DayResults',
+    'Disruption',
+    'Distribution',
+    'FleetSimulation',
     'QueuePattern',
-    'Sizes',
-    'Trouble',
-    'VirtualFleet',
-    'Weights',
+    'ScoreWeights',
 )
--- a/src/sardinemast/model/_clock.py
+++ b/src/sardinemast/model/_clock.py
@@ -1,34 +1,37 @@
-"""Virtual time: actions in the order of when they are due."""
+"""Virtual clock that runs scheduled callbacks in the order of their time."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
 
-Action = Callable[[], None]
+Callback = Callable[[], None]
 
 
 class VirtualClock:
-    """Hold the time, and what is due when."""
+    """Hold the virtual time and the callbacks scheduled on it."""
 
     def __init__(self, now_s: float) -> None:
         self.now_s = now_s
-        self._queue: list[tuple[float, int, Action]] = []
-        self._order = 0
+        self._queue: list[tuple[float, int, Callback]] = []
+        self._sequence = 0
 
-    def call_at(self, at_s: float, action: Action) -> None:
-        """Have something happen at a moment."""
-        self._order += 1
-        heappush(self._queue, (at_s, self._order, action))
+    def call_at(self, at_s: float, callback: Callback) -> None:
+        """Schedule a callback at a time."""
+        self._sequence += 1
+        heappush(self._queue, (at_s, self._sequence, callback))
 
-    def call_later(self, delay_s: float, action: Action) -> None:
-        """Have something happen after a while."""
-        self.call_at(self.now_s + delay_s, action)
+    def call_later(self, delay_s: float, callback: Callback) -> None:
+        """Schedule a callback after a delay."""
+        self.call_at(self.now_s + delay_s, callback)
 
     def run_until(
-        self, end_s: float, note_passed: Callable[[float], None]
+        self, end_s: float, record_elapsed: Callable[[float], None]
     ) -> None:
-        """Do all that is due, and tell how much time passes between."""
+        """Run all callbacks due before ``end_s``.
+
+        ``record_elapsed`` is called with the seconds that passed before each.
+        """
         while self._queue and self._queue[0][0] < end_s:
-            at_s, _, action = heappop(self._queue)
-            note_passed(at_s - self.now_s)
+            at_s, _, callback = heappop(self._queue)
+            record_elapsed(at_s - self.now_s)
             self.now_s = at_s
-            action()
+            callback()
--- a/src/sardinemast/model/_ledger.py
+++ b/src/sardinemast/model/_ledger.py
@@ -1,4 +1,4 @@
-"""What a modelled day was worth to its callers, and what it cost."""
+"""Scoring of a simulated day: value of the jobs done, and fleet cost."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterator
@@ -6,134 +6,150 @@
 
 from sardinemast.model._patterns import Arrival
 
-_LATE_WORTH = 0.07
-# Up to three times its aim a job is late; after that it is lost.
-_LATE_FACTOR = 3.0
-_SPAN_S = 2.0
-# A job counts by its work, within bounds.
+# Share of its value that a late job earns; it earns nothing once it has taken
+# this many times the time allowed.
+_LATE_VALUE_SHARE = 0.07
+_LOST_FACTOR = 3.0
+_INTERVAL_S = 2.0
+# The value of a job is partly fixed and partly proportional to its work, up
+# to a multiple of the queue's mean.
 _FIXED_SHARE = 0.3
 _SIZE_FACTOR_MAX = 4.0
 _LARGEST_SHARE = 0.1
-_SMALLEST_SHARE = 0.02
+# Groups with less of the total value than this are left out of the worst.
+_MIN_GROUP_SHARE = 0.02
 
 
-class Weights(NamedTuple):
-    """Say how much each part of the service counts, and each cost."""
+class ScoreWeights(NamedTuple):
+    """Hold the weight of each ratio and cost in the score of a day."""
 
-    whole: float = 0.5
+    overall: float = 0.5
     worst_queue: float = 0.25
     worst_team: float = 0.17
-    worst_span: float = 0.08
+    worst_interval: float = 0.08
     worker_second: float = 0.00026
     move: float = 0.00029
 
 
-class DayFigures(NamedTuple):
-    """Hold shares of worth earned, and what the fleet did for it."""
+class DayResults(NamedTuple):
+    """Hold the results of a day.
+
+    ``on_time`` is the earned share of the attainable value, ``worst_*`` that
+    of the worst group, ``largest_jobs`` that of the jobs with the most work.
+    """
 
     on_time: float
     worst_queue: float
     worst_team: float
-    worst_span: float
+    worst_interval: float
     largest_jobs: float
-    lasting_at_work: float
+    long_running_availability: float
     worker_seconds: float
     moves: int
     lost_core_s: float
 
-    def get_worth(self, weights: Weights) -> float:
-        """Give one figure to compare policies by."""
+    def compute_score(self, weights: ScoreWeights) -> float:
+        """Return the weighted value earned less the weighted costs."""
         return (
-            weights.whole * self.on_time
+            weights.overall * self.on_time
             + weights.worst_queue * self.worst_queue
             + weights.worst_team * self.worst_team
-            + weights.worst_span * self.worst_span
+            + weights.worst_interval * self.worst_interval
             - weights.worker_second * self.worker_seconds
             - weights.move * self.moves
         )
 
 
-class _Worth(NamedTuple):
-    """Hold what a job was worth, and how much of that was earned."""
+class _JobValue(NamedTuple):
+    """Hold the value that a job could earn and the value it earned."""
 
     arrival: Arrival
-    owed: float
+    attainable: float
     earned: float
 
 
-class _Shares:
-    """Sum what was owed and earned, by any key."""
+class _GroupValues:
+    """Sum attainable and earned value by group."""
 
     def __init__(self) -> None:
-        self._owed: dict[str, float] = defaultdict(float)
+        self._attainable: dict[str, float] = defaultdict(float)
         self._earned: dict[str, float] = defaultdict(float)
 
-    def add(self, key: str, worth: _Worth) -> None:
-        self.add_plain(key, worth.owed, worth.earned)
+    def add_job(self, group: str, value: _JobValue) -> None:
+        self.add(group, value.attainable, value.earned)
 
-    def add_plain(self, key: str, owed: float, earned: float) -> None:
-        self._owed[key] += owed
-        self._earned[key] += earned
+    def add(self, group: str, attainable: float, earned: float) -> None:
+        self._attainable[group] += attainable
+        self._earned[group] += earned
 
-    def get_whole(self) -> float:
-        owed = sum(self._owed.values())
-        return sum(self._earned.values()) / owed if owed else 1
+    def get_overall_ratio(self) -> float:
+        attainable = sum(self._attainable.values())
+        return sum(self._earned.values()) / attainable if attainable else 1
 
-    def get_worst(self) -> float:
-        # A key with next to nothing owed says nothing.
-        least = sum(self._owed.values()) * _SMALLEST_SHARE
-        shares = [
-            self._earned[key] / owed
-            for key, owed in self._owed.items()
-            if owed > least
+    def get_worst_ratio(self) -> float:
+        min_attainable = sum(self._attainable.values()) * _MIN_GROUP_SHARE
+        ratios = [
+            self._earned[group] / attainable
+            for group, attainable in self._attainable.items()
+            if attainable > min_attainable
         ]
-        return min(shares, default=1)
+        return min(ratios, default=1)
+
 
+class DayRecord(NamedTuple):
+    """Hold what was recorded during a day.
 
-class Played(NamedTuple):
-    """Hold what is known after a day: ends of jobs, spans of lasting ones."""
+    ``availability`` holds samples by queue: the share of its long-running
+    tasks that serve.
+    """
 
     arrivals: tuple[Arrival, ...]
-    done_s: dict[str, float]
-    lasting: dict[str, list[float]]
+    done_at_s: dict[str, float]
+    availability: dict[str, list[float]]
     worker_seconds: float
     moves: int
     lost_core_s: float
 
 
-def sum_up(played: Played) -> DayFigures:
-    """Sum a day up, from when each job was done."""
-    jobs = [one for one in played.arrivals if one.tasks]
-    worths = list(_iterate_worths(jobs, played.done_s))
-    at_work = [share for all_ in played.lasting.values() for share in all_]
+def score_day(record: DayRecord) -> DayResults:
+    """Compute the results of a day from its record."""
+    jobs = [one for one in record.arrivals if one.tasks]
+    values = list(_iterate_values(jobs, record.done_at_s))
+    samples = [
+        sample for ratios in record.availability.values() for sample in ratios
+    ]
     largest = _find_largest(jobs)
-    queues = _Shares()
-    for worth in worths:
-        queues.add(worth.arrival.queue.name, worth)
-    for name, shares in played.lasting.items():
-        queues.add_plain(f'{name}-lasting', len(shares), sum(shares))
-    return DayFigures(
-        queues.get_whole(),
-        queues.get_worst(),
-        _get_worst(worths, _get_team),
-        _get_worst(worths, _get_span),
-        _get_worst([one for one in worths if one.arrival in largest], _get_all),
-        sum(at_work) / len(at_work) if at_work else 1,
-        round(played.worker_seconds, 1),
-        played.moves,
-        round(played.lost_core_s, 1),
+    queues = _GroupValues()
+    for value in values:
+        queues.add_job(value.arrival.queue.name, value)
+    for name, queue_samples in record.availability.items():
+        queues.add(f'{name}-lasting', len(queue_samples), sum(queue_samples))
+    return DayResults(
+        queues.get_overall_ratio(),
+        queues.get_worst_ratio(),
+        _get_worst_ratio(values, _get_team),
+        _get_worst_ratio(values, _get_interval),
+        _get_worst_ratio(
+            [one for one in values if one.arrival in largest], _get_single_group
+        ),
+        sum(samples) / len(samples) if samples else 1,
+        round(record.worker_seconds, 1),
+        record.moves,
+        round(record.lost_core_s, 1),
     )
 
 
-def _iterate_worths(
+def _iterate_values(
     jobs: list[Arrival],
-    done_s: dict[str, float],
-) -> Iterator[_Worth]:
+    done_at_s: dict[str, float],
+) -> Iterator[_JobValue]:
     means = _get_mean_works(jobs)
     for one in jobs:
-        owed = one.queue.worth * _get_size_factor(one, means[one.queue.name])
-        share = _get_share(one, done_s.get(one.name))
-        yield _Worth(one, owed, owed * share)
+        attainable = one.queue.job_value * _get_size_factor(
+            one, means[one.queue.name]
+        )
+        share = _get_earned_share(one, done_at_s.get(one.name))
+        yield _JobValue(one, attainable, attainable * share)
 
 
 def _find_largest(jobs: list[Arrival]) -> list[Arrival]:
@@ -141,14 +157,14 @@
     return by_work[int(len(by_work) * (1 - _LARGEST_SHARE)) :]
 
 
-def _get_worst(
-    worths: list[_Worth],
-    get_key: Callable[[Arrival], str],
+def _get_worst_ratio(
+    values: list[_JobValue],
+    get_group: Callable[[Arrival], str],
 ) -> float:
-    shares = _Shares()
-    for worth in worths:
-        shares.add(get_key(worth.arrival), worth)
-    return shares.get_worst()
+    groups = _GroupValues()
+    for value in values:
+        groups.add_job(get_group(value.arrival), value)
+    return groups.get_worst_ratio()
 
 
 def _get_work(arrival: Arrival) -> float:
@@ -159,11 +175,11 @@
     return arrival.team
 
 
-def _get_span(arrival: Arrival) -> str:
-    return str(int(arrival.at_s // _SPAN_S))
+def _get_interval(arrival: Arrival) -> str:
+    return str(int(arrival.at_s // _INTERVAL_S))
 
 
-def _get_all(arrival: Arrival) -> str:
+def _get_single_group(arrival: Arrival) -> str:
     return ''
 
 
@@ -171,18 +187,25 @@
     works: dict[str, list[float]] = defaultdict(list)
     for one in jobs:
         works[one.queue.name].append(one.work_core_s)
-    return {name: sum(all_) / len(all_) for name, all_ in works.items()}
+    return {
+        name: sum(queue_works) / len(queue_works)
+        for name, queue_works in works.items()
+    }
 
 
 def _get_size_factor(arrival: Arrival, mean_core_s: float) -> float:
-    share = min(arrival.work_core_s / mean_core_s, _SIZE_FACTOR_MAX)
-    return _FIXED_SHARE + (1 - _FIXED_SHARE) * share
+    factor = min(arrival.work_core_s / mean_core_s, _SIZE_FACTOR_MAX)
+    return _FIXED_SHARE + (1 - _FIXED_SHARE) * factor
 
 
-def _get_share(arrival: Arrival, done_s: float | None) -> float:
-    if done_s is None:
+def _get_earned_share(arrival: Arrival, done_at_s: float | None) -> float:
+    if done_at_s is None:
         return 0
-    taken_s = done_s - arrival.at_s
-    if taken_s <= arrival.aim_s:
+    duration_s = done_at_s - arrival.at_s
+    if duration_s <= arrival.allowed_s:
         return 1
-    return _LATE_WORTH if taken_s <= _LATE_FACTOR * arrival.aim_s else 0
+    return (
+        _LATE_VALUE_SHARE
+        if duration_s <= _LOST_FACTOR * arrival.allowed_s
+        else 0
+    )
--- a/src/sardinemast/model/_orders.py
+++ b/src/sardinemast/model/_orders.py
@@ -1,4 +1,4 @@
-"""Carry the leader's orders out at the model's workers and instances."""
+"""Execution of the leader's orders on simulated workers and instances."""
 
 from collections.abc import Callable
 from random import Random
@@ -22,47 +22,45 @@
 from sardinemast.jobs import JobsState, Step
 from sardinemast.model._clock import VirtualClock
 from sardinemast.model._instances import Instances
-from sardinemast.model._patterns import Arrival, TrueTask
-from sardinemast.model._workers import ModelRun, ModelWorker
-
-# One way between processes and workers of one region.
-_WAY_S = 0.001
-# A stop takes up to this long.
-_STOP_S = 0.5
-# A worker that fails all that it starts does so after this.
-_FAILING_S = 0.1
+from sardinemast.model._workers import SimulatedRun, SimulatedWorker
+from sardinemast.model._patterns import ActualTask, Arrival
+
+_NETWORK_DELAY_S = 0.001  # one way
+_STOP_DELAY_MAX_S = 0.5
+# On a failing worker, every run fails this long after its start.
+_FAILURE_DELAY_S = 0.1
 _MS = 1000
 
-Answer = Callable[[DispatchEvent], None]
+Reply = Callable[[DispatchEvent], None]
 
 
-class Orders:
-    """Hold the looks that wait for an end, and carry orders out."""
+class OrderExecutor:
+    """Execute orders, and hold the polls that wait for the end of a run."""
 
     def __init__(
         self,
         clock: VirtualClock,
         instances: Instances,
         state: JobsState,
-        truths: dict[str, Arrival],
+        arrivals: dict[str, Arrival],
         rng: Random,
     ) -> None:
         self._clock = clock
         self._instances = instances
         self._state = state
-        self._truths = truths
+        self._arrivals = arrivals
         self._rng = rng
-        self._looks: dict[str, Callable[[], None]] = {}
+        self._pending_polls: dict[str, Callable[[], None]] = {}
 
-    def send(self, order: DispatchOutput, answer: Answer) -> None:
-        """Have an order arrive after its way, and its answer come back."""
+    def send(self, order: DispatchOutput, answer: Reply) -> None:
+        """Execute an order, with a network delay before and after it."""
 
         def reply(event: DispatchEvent) -> None:
-            self._clock.call_later(_WAY_S, lambda: answer(event))
+            self._clock.call_later(_NETWORK_DELAY_S, lambda: answer(event))
 
-        def arrive() -> None:
+        def deliver() -> None:
             if isinstance(order, PollWorker):
-                self._look(order, reply)
+                self._poll(order, reply)
             elif isinstance(order, StartRun):
                 self._start(order, reply)
             elif isinstance(order, StopRun):
@@ -73,47 +71,47 @@
                 reply(MoveAnswered(order.instance, order.pool, outcome))
             elif isinstance(order, OrderMaintenance):
                 is_done = self._instances.maintain(order.instance)
-                reply(_make_upkeep_answer(order, is_done=is_done))
+                reply(_make_maintenance_answer(order, is_done=is_done))
             elif isinstance(order, ListInstances):
-                reply(self._instances.list_all(order.asked_s))
+                reply(self._instances.list_instances(order.asked_s))
 
-        self._clock.call_later(_WAY_S, arrive)
+        self._clock.call_later(_NETWORK_DELAY_S, deliver)
 
-    def _look(self, order: PollWorker, reply: Answer) -> None:
+    def _poll(self, order: PollWorker, reply: Reply) -> None:
         name = order.worker.name
-        is_over = False
-
-        def end(answer: WorkerReport | None) -> None:
-            nonlocal is_over
-            if not is_over:
-                is_over = True
-                reply(_make_looked(order, answer))
-
-        def tell() -> None:
-            model = self._find(name)
-            if model is not None:
-                end(model.look(order, self._clock.now_s))
-
-        self._clock.call_later(order.timeout_s, lambda: end(None))
-        model = self._find(name)
-        if model is None:
+        is_finished = False
+
+        def finish(report: WorkerReport | None) -> None:
+            nonlocal is_finished
+            if not is_finished:
+                is_finished = True
+                reply(_make_poll_event(order, report))
+
+        def send_report() -> None:
+            worker = self._find_reachable(name)
+            if worker is not None:
+                finish(worker.poll(order, self._clock.now_s))
+
+        self._clock.call_later(order.timeout_s, lambda: finish(None))
+        worker = self._find_reachable(name)
+        if worker is None:
             return
-        model.forget_ends(order.acked_position)
-        if model.ends or not order.wait_ms:
-            tell()
+        worker.discard_ends(order.acked_position)
+        if worker.ends or not order.wait_ms:
+            send_report()
         else:
-            self._looks[name] = tell
-            self._clock.call_later(order.wait_ms / _MS, tell)
+            self._pending_polls[name] = send_report
+            self._clock.call_later(order.wait_ms / _MS, send_report)
 
-    def _start(self, order: StartRun, reply: Answer) -> None:
-        model = self._find(order.worker.name)
+    def _start(self, order: StartRun, reply: Reply) -> None:
+        worker = self._find_reachable(order.worker.name)
         step = self._state.find_step(order.task)
-        if model is None or step is None:
+        if worker is None or step is None:
             return
-        truth = self._get_truth(model, order, step.spec)
+        actual = self._get_actual_task(worker, order, step.spec)
         now_s = self._clock.now_s
-        room = step.spec.reserved_size.millicores
-        answer = model.start(order, room, truth.run_s, now_s)
+        millicores = step.spec.reserved_size.millicores
+        answer = worker.start(order, millicores, actual.run_duration_s, now_s)
         reply(
             StartAnswered(
                 order.worker.name,
@@ -124,74 +122,74 @@
             ),
         )
         run = answer.run
-        if run is not None and run.ends_s < float('inf'):
-            result = 'failed' if truth.fails else 'done'
+        if run is not None and run.ends_at_s < float('inf'):
+            result = 'failed' if actual.fails else 'done'
             self._clock.call_at(
-                run.ends_s,
-                lambda: self._end(model, order, run, result),
+                run.ends_at_s,
+                lambda: self._end_run(worker, order, run, result),
             )
 
-    def _get_truth(
+    def _get_actual_task(
         self,
-        model: ModelWorker,
+        worker: SimulatedWorker,
         order: StartRun,
         step: Step,
-    ) -> TrueTask:
-        if model.is_failing:
-            return TrueTask(_FAILING_S, fails=True)
+    ) -> ActualTask:
+        if worker.is_failing:
+            return ActualTask(_FAILURE_DELAY_S, fails=True)
         if step.is_long_running:
-            return TrueTask(float('inf'))
-        tasks = self._truths[order.task.job].tasks
-        truth = tasks[order.task.step][order.task.position]
-        # A task fails by chance, not for good.
-        return truth._replace(fails=truth.fails and order.number == 1)
+            return ActualTask(float('inf'))
+        tasks = self._arrivals[order.task.job].tasks
+        actual = tasks[order.task.step][order.task.position]
+        # A task that fails does so in its first run only.
+        return actual._replace(fails=actual.fails and order.number == 1)
 
     def _stop(self, order: StopRun) -> None:
-        model = self._find(order.worker.name)
-        run = model.running.get(order.task) if model else None
-        if model is None or run is None or run.number != order.number:
+        worker = self._find_reachable(order.worker.name)
+        run = worker.running.get(order.task) if worker else None
+        if worker is None or run is None or run.number != order.number:
             return
-        delay_s = self._rng.uniform(0, _STOP_S)
+        delay_s = self._rng.uniform(0, _STOP_DELAY_MAX_S)
         self._clock.call_later(
             delay_s,
-            lambda: self._end(model, order, run, 'stopped'),
+            lambda: self._end_run(worker, order, run, 'stopped'),
         )
 
-    def _end(
+    def _end_run(
         self,
-        model: ModelWorker,
+        worker: SimulatedWorker,
         order: StartRun | StopRun,
-        run: ModelRun,
+        run: SimulatedRun,
         result: str,
     ) -> None:
-        if model.running.get(order.task) is not run:
+        if worker.running.get(order.task) is not run:
             return
         if result == 'stopped':
-            self._instances.note_lost(run)
-        model.end(order.task, result)
-        tell = self._looks.pop(model.worker.name, None)
-        if tell is not None:
-            tell()
+            self._instances.record_lost_work(run)
+        worker.end_run(order.task, result)
+        send_report = self._pending_polls.pop(worker.registration.name, None)
+        if send_report is not None:
+            send_report()
 
-    def _find(self, name: str) -> ModelWorker | None:
-        model = self._instances.workers.get(name)
-        return None if model is None or model.is_dark else model
+    def _find_reachable(self, name: str) -> SimulatedWorker | None:
+        worker = self._instances.workers.get(name)
+        return None if worker is None or worker.is_unreachable else worker
 
 
-def _make_looked(
+def _make_poll_event(
     order: PollWorker,
-    answer: WorkerReport | None,
+    report: WorkerReport | None,
 ) -> WorkerPolled:
-    outcome = OrderOutcome.unknown if answer is None else OrderOutcome.done
+    outcome = OrderOutcome.unknown if report is None else OrderOutcome.done
     name = order.worker.name
-    return WorkerPolled(name, order.fence, order.sent_s, outcome, answer)
+    return WorkerPolled(name, order.fence, order.sent_s, outcome, report)
 
 
 def _get_outcome(*, is_done: bool) -> OrderOutcome:
     return OrderOutcome.done if is_done else OrderOutcome.refused
 
 
-def _make_upkeep_answer(
+def _make_maintenance_answer(
     order: OrderMaintenance,
     *,
     is_done: bool,
--- a/src/sardinemast/model/_troubles.py
+++ b/src/sardinemast/model/_troubles.py
@@ -1,4 +1,4 @@
-"""Trouble of a day: lost racks and leaders; silent, slow, failing workers."""
+"""Disruptions of a day: lost power, lost leaders, impaired workers."""
 
 from __future__ import annotations
 
@@ -7,104 +7,118 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from sardinemast.model._instances import ModelInstance
-from sardinemast.model._patterns import STANDBY_POOL, Trouble
+from sardinemast.model._instances import SimulatedInstance
+from sardinemast.model._patterns import STANDBY_POOL, Disruption
 
 if TYPE_CHECKING:
-    from sardinemast.model._fleet import VirtualFleet
-
-# Lengths and shares as on the users' heaviest days.
-_RACK_DARK_S = 7.0
-_CUT_S = 6.0
-_SICK_S = 5.0
-_SICK_SHARE = 0.12
-_CRAWL_FACTOR = 8.0
+    from sardinemast.model._fleet import FleetSimulation
+
+_POWER_LOSS_S = 7.0
+_UNREACHABLE_S = 6.0
+_IMPAIRED_S = 5.0
+_AFFECTED_SHARE = 0.12
+_SLOWNESS = 8.0
 _WAVE_SHARE = 0.44
 _CAP_SHARE = 0.39
-_CAP_LEAST = 8
-_WAVE_S = 25.0
-_WAVE_LATEST_S = 3.0
-# A lost leader's successor is elected and heard by all within this.
+_CAP_MIN = 8
+_WAVE_DURATION_S = 25.0
+_LATEST_WAVE_START_S = 3.0
+# Time until a successor of the lost leader leads.
 _ELECTION_S = 1.0
-# All control processes lose power, start again and elect a leader.
-_RESTART_S = 1.5
-
-
-def plan_troubles(fleet: VirtualFleet) -> None:
-    """Plan each of the day's troubles at a moment that the seed picks."""
-    # Drawn apart, so that the same trouble meets each policy.
-    rng = Random(f'trouble-{fleet.seed}')
-    strikes = _list_strikes(fleet, rng)
-    for trouble, strike in strikes.items():
-        latest_s = fleet.day.length_s - _RACK_DARK_S
-        if trouble is Trouble.wave:
-            latest_s = _WAVE_LATEST_S
+# Time until all control processes have restarted and elected a leader.
+_CONTROL_RESTART_S = 1.5
+
+
+def schedule_disruptions(simulation: FleetSimulation) -> None:
+    """Schedule each of the day's disruptions at a random time."""
+    # A generator of its own gives the same disruptions under each policy.
+    rng = Random(f'trouble-{simulation.seed}')
+    actions = _list_actions(simulation, rng)
+    for disruption, action in actions.items():
+        latest_s = simulation.day.duration_s - _POWER_LOSS_S
+        if disruption is Disruption.wave:
+            latest_s = _LATEST_WAVE_START_S
         at_s = rng.uniform(0, latest_s)
-        if trouble in fleet.day.troubles:
-            fleet.clock.call_at(at_s, strike)
+        if disruption in simulation.day.disruptions:
+            simulation.clock.call_at(at_s, action)
 
 
-def _list_strikes(
-    fleet: VirtualFleet,
+def _list_actions(
+    simulation: FleetSimulation,
     rng: Random,
-) -> dict[Trouble, Callable[[], None]]:
-    names = sorted(fleet.instances.all)
+) -> dict[Disruption, Callable[[], None]]:
+    names = sorted(simulation.instances.by_name)
     due = tuple(rng.sample(names, int(len(names) * _WAVE_SHARE)))
-    cap = max(int(len(due) * _CAP_SHARE), _CAP_LEAST)
-    dark, cut, slow, failing = (rng.sample(names, len(names)) for _ in range(4))
+    cap = max(int(len(due) * _CAP_SHARE), _CAP_MIN)
+    unpowered, unreachable, slow, failing = (
+        rng.sample(names, len(names)) for _ in range(4)
+    )
     return {
-        Trouble.wave: lambda: fleet.declare_wave(due, cap, _WAVE_S),
-        Trouble.leader_lost: lambda: fleet.lose_leader(_ELECTION_S),
-        Trouble.control_restarted: lambda: fleet.restart_control(_RESTART_S),
-        Trouble.rack_dark: lambda: _darken_rack(fleet, dark),
-        Trouble.workers_cut: lambda: _cut(fleet, cut),
-        Trouble.workers_slow: lambda: _sicken(fleet, slow, _make_crawl),
-        Trouble.workers_failing: lambda: _sicken(fleet, failing, _make_fail),
+        Disruption.wave: (
+            lambda: simulation.declare_wave(due, cap, _WAVE_DURATION_S)
+        ),
+        Disruption.leader_lost: lambda: simulation.lose_leader(_ELECTION_S),
+        Disruption.control_restarted: (
+            lambda: simulation.restart_control(_CONTROL_RESTART_S)
+        ),
+        Disruption.rack_power_lost: (
+            lambda: _cut_rack_power(simulation, unpowered)
+        ),
+        Disruption.workers_unreachable: (
+            lambda: _disconnect_workers(simulation, unreachable)
+        ),
+        Disruption.workers_slow: lambda: _impair(simulation, slow, _set_slow),
+        Disruption.workers_failing: (
+            lambda: _impair(simulation, failing, _set_failing)
+        ),
     }
 
 
-def _pick(fleet: VirtualFleet, names: list[str]) -> list[ModelInstance]:
-    """Give the first few instances that are on."""
-    ordered = [fleet.instances.all[name] for name in names]
-    on = [one for one in ordered if one.pool != STANDBY_POOL and one.is_up]
-    return on[: max(int(len(on) * _SICK_SHARE), 1)]
+def _select_active(
+    simulation: FleetSimulation,
+    names: list[str],
+) -> list[SimulatedInstance]:
+    """Return the first named instances that are up and not on standby."""
+    ordered = [simulation.instances.by_name[name] for name in names]
+    active = [one for one in ordered if one.pool != STANDBY_POOL and one.is_up]
+    return active[: max(int(len(active) * _AFFECTED_SHARE), 1)]
 
 
-def _darken_rack(fleet: VirtualFleet, names: list[str]) -> None:
-    rack = _pick(fleet, names)[0].rack
-    for instance in fleet.instances.all.values():
+def _cut_rack_power(simulation: FleetSimulation, names: list[str]) -> None:
+    rack = _select_active(simulation, names)[0].rack
+    for instance in simulation.instances.by_name.values():
         if instance.rack == rack and instance.is_up:
             instance.is_down = True
-            fleet.instances.restart(instance, _RACK_DARK_S)
-            fleet.clock.call_later(_RACK_DARK_S, instance.note_back)
+            simulation.instances.restart(instance, _POWER_LOSS_S)
+            simulation.clock.call_later(_POWER_LOSS_S, instance.restore_power)
 
 
-def _cut(fleet: VirtualFleet, names: list[str]) -> None:
-    for instance in _pick(fleet, names):
-        model = instance.worker
-        if model is not None:
-            model.is_dark = True
-            fleet.clock.call_later(_CUT_S, model.note_back)
+def _disconnect_workers(simulation: FleetSimulation, names: list[str]) -> None:
+    for instance in _select_active(simulation, names):
+        worker = instance.worker
+        if worker is not None:
+            worker.is_unreachable = True
+            simulation.clock.call_later(_UNREACHABLE_S, worker.mark_reachable)
 
 
-def _sicken(
-    fleet: VirtualFleet,
+def _impair(
+    simulation: FleetSimulation,
     names: list[str],
-    make_sick: Callable[[ModelInstance, bool], None],
+    set_impaired: Callable[[SimulatedInstance, bool], None],
 ) -> None:
-    for instance in _pick(fleet, names):
-        make_sick(instance, True)
-        heal = partial(make_sick, instance, False)
-        fleet.clock.call_later(_SICK_S, heal)
+    for instance in _select_active(simulation, names):
+        set_impaired(instance, True)
+        recover = partial(set_impaired, instance, False)
+        simulation.clock.call_later(_IMPAIRED_S, recover)
 
 
-def _make_crawl(instance: ModelInstance, is_sick: bool) -> None:
-    instance.slowness = _CRAWL_FACTOR if is_sick else 1
+def _set_slow(instance: SimulatedInstance, is_slow: bool) -> None:
+    instance.slowness = _SLOWNESS if is_slow else 1
     if instance.worker is not None:
         instance.worker.slowness = instance.slowness
 
 
-def _make_fail(instance: ModelInstance, is_sick: bool) -> None:
-    instance.is_failing = is_sick
+def _set_failing(instance: SimulatedInstance, is_failing: bool) -> None:
+    instance.is_failing = is_failing
     if instance.worker is not None:
-        instance.worker.is_failing = is_sick
+        instance.worker.is_failing = is_failing
--- a/src/sardinemast/model/_workers.py
+++ b/src/sardinemast/model/_workers.py
@@ -1,4 +1,4 @@
-"""Model workers: what they run, when it ends, and what they answer."""
+"""Simulated workers, their runs and their answers to the leader's orders."""
 
 from typing import NamedTuple
 
@@ -13,80 +13,80 @@
 from sardinemast.jobs import TaskKey, Worker
 
 _MS = 1000
-_WHOLE_PERCENT = 100
-# A serving task is at work so long after its start.
+_COMPLETE_PERCENT = 100
+# A long-running task is ready to serve this long after its start.
 _STARTUP_S = 0.4
 
 
-class ModelRun:
-    """Hold one run: when it began, and when it ends unless it is stopped."""
+class SimulatedRun:
+    """Hold a run, its start, and its end unless it is stopped before."""
 
     def __init__(
         self,
         number: int,
         millicores: int,
-        begun_s: float,
-        ends_s: float,
+        started_at_s: float,
+        ends_at_s: float,
     ) -> None:
         self.number = number
         self.millicores = millicores
-        self.begun_s = begun_s
-        self.ends_s = ends_s
+        self.started_at_s = started_at_s
+        self.ends_at_s = ends_at_s
 
-    def get_percent(self, now_s: float) -> int:
-        """Give how far the run is, or whether a lasting one is at work."""
-        since_s = now_s - self.begun_s
-        if self.ends_s == float('inf'):
-            return _WHOLE_PERCENT if since_s >= _STARTUP_S else 0
-        length_s = max(self.ends_s - self.begun_s, since_s, 1 / _MS)
-        return int(_WHOLE_PERCENT * since_s / length_s)
+    def get_progress_percent(self, now_s: float) -> int:
+        """Return the progress; of a long-running task 0 until it is ready."""
+        elapsed_s = now_s - self.started_at_s
+        if self.ends_at_s == float('inf'):
+            return _COMPLETE_PERCENT if elapsed_s >= _STARTUP_S else 0
+        duration_s = max(self.ends_at_s - self.started_at_s, elapsed_s, 1 / _MS)
+        return int(_COMPLETE_PERCENT * elapsed_s / duration_s)
 
 
-class StartAnswer(NamedTuple):
-    """Hold the answer to a start, and the run where one has begun."""
+class StartResult(NamedTuple):
+    """Hold the answer to a start order, and the run if it was started."""
 
     outcome: OrderOutcome
     reason: str = ''
-    run: ModelRun | None = None
+    run: SimulatedRun | None = None
 
 
-class ModelWorker:
-    """Hold one life of a worker.
+class SimulatedWorker:
+    """Simulate one boot of a worker.
 
-    ``slowness`` stretches what is started; with ``is_failing`` all that is
-    started fails at once. A dark one answers nothing.
+    New runs take ``slowness`` times as long, or fail shortly after their start
+    if ``is_failing``.
     """
 
-    def __init__(self, worker: Worker, born_s: float) -> None:
-        self.worker = worker
-        self.is_dark = False
+    def __init__(self, registration: Worker, started_at_s: float) -> None:
+        self.registration = registration
+        self.is_unreachable = False
         self.is_failing = False
         self.slowness: float = 1
-        self.running: dict[TaskKey, ModelRun] = {}
+        self.running: dict[TaskKey, SimulatedRun] = {}
         self.ends: list[ReportedEnd] = []
-        self._born_s = born_s
+        self._started_at_s = started_at_s
         self._fence = 0
         self._position = 0
 
-    def note_back(self) -> None:
-        """Note that the worker can be reached again."""
-        self.is_dark = False
+    def mark_reachable(self) -> None:
+        """Make the worker answer orders again."""
+        self.is_unreachable = False
 
-    def forget_ends(self, seen: int) -> None:
-        """Forget the ends up to one that the leader has recorded."""
-        self.ends = [one for one in self.ends if one.position > seen]
+    def discard_ends(self, acked_position: int) -> None:
+        """Discard the ends that the leader has recorded."""
+        self.ends = [one for one in self.ends if one.position > acked_position]
 
-    def look(self, order: PollWorker, now_s: float) -> WorkerReport:
-        """Answer a look."""
+    def poll(self, order: PollWorker, now_s: float) -> WorkerReport:
+        """Return the worker's runs and the ends not yet acknowledged."""
         self._fence = max(self._fence, order.fence)
-        listed = tuple(
-            ReportedRun(task, run.number, '', run.get_percent(now_s))
+        reported = tuple(
+            ReportedRun(task, run.number, '', run.get_progress_percent(now_s))
             for task, run in self.running.items()
         )
         return WorkerReport(
-            self.worker.boot_ms,
-            max(int((now_s - self._born_s) * _MS), 1),
-            listed,
+            self.registration.boot_ms,
+            max(int((now_s - self._started_at_s) * _MS), 1),
+            reported,
             tuple(self.ends),
         )
 
@@ -94,22 +94,22 @@
         self,
         order: StartRun,
         millicores: int,
-        length_s: float,
+        duration_s: float,
         now_s: float,
-    ) -> StartAnswer:
-        """Begin a run where there is room for it."""
+    ) -> StartResult:
+        """Start a run unless its fence is outdated or cores are lacking."""
         if order.fence < self._fence:
-            return StartAnswer(OrderOutcome.refused, 'fence')
+            return StartResult(OrderOutcome.refused, 'fence')
         used = sum(run.millicores for run in self.running.values())
-        if used + millicores > self.worker.capacity.millicores:
-            return StartAnswer(OrderOutcome.refused, 'room')
-        ends_s = now_s + length_s * self.slowness
-        run = ModelRun(order.number, millicores, now_s, ends_s)
+        if used + millicores > self.registration.capacity.millicores:
+            return StartResult(OrderOutcome.refused, 'room')
+        ends_at_s = now_s + duration_s * self.slowness
+        run = SimulatedRun(order.number, millicores, now_s, ends_at_s)
         self.running[order.task] = run
-        return StartAnswer(OrderOutcome.done, '', run)
+        return StartResult(OrderOutcome.done, '', run)
 
-    def end(self, task: TaskKey, result: str) -> None:
-        """End a run and list its end."""
+    def end_run(self, task: TaskKey, result: str) -> None:
+        """End a run and record its result for the next report."""
         run = self.running.pop(task)
         self._position += 1
         self.ends.append(ReportedEnd(self._position, task, run.number, result))
