--- a/src/sardinemast/model/__init__.py
+++ b/src/sardinemast/model/__init__.py
@@ -1,9 +1,9 @@
 """Simulation of a fleet and its workload in virtual time."""
 
 from sardinemast.model._days import ENROLMENT_DAY, REGISTRY_DAY
-from sardinemast.model._ledger import DayResults, ScoreWeights
-from sardinemast.model._fleet import FleetSimulation
-from sardinemast.model._patterns import (
+from sardinemast.model._scoring import DayResults, ScoreWeights
+from sardinemast.model._simulation import FleetSimulation
+from sardinemast.model._workload import (
     DayPattern,
     Disruption,
     Distribution,
--- a/src/sardinemast/model/_days.py
+++ b/src/sardinemast/model/_days.py
@@ -1,6 +1,6 @@
 """Predefined days: one of large workers, one of small workers."""
 
-from sardinemast.model._patterns import DayPattern, Distribution, QueuePattern
+from sardinemast.model._workload import DayPattern, Distribution, QueuePattern
 
 _FILINGS = QueuePattern(
     'filings',
--- a/src/sardinemast/model/_troubles.py
+++ b/src/sardinemast/model/_disruptions.py
@@ -8,10 +8,10 @@
 from typing import TYPE_CHECKING
 
 from sardinemast.model._instances import SimulatedInstance
-from sardinemast.model._patterns import STANDBY_POOL, Disruption
+from sardinemast.model._workload import STANDBY_POOL, Disruption
 
 if TYPE_CHECKING:
-    from sardinemast.model._fleet import FleetSimulation
+    from sardinemast.model._simulation import FleetSimulation
 
 _POWER_LOSS_S = 7.0
 _UNREACHABLE_S = 6.0
--- a/src/sardinemast/model/_instances.py
+++ b/src/sardinemast/model/_instances.py
@@ -9,7 +9,7 @@
 from sardinemast.jobs import Size, Worker
 from sardinemast.model._clock import VirtualClock
 from sardinemast.model._workers import SimulatedRun, SimulatedWorker
-from sardinemast.model._patterns import STANDBY_POOL, DayPattern
+from sardinemast.model._workload import STANDBY_POOL, DayPattern
 
 _MS = 1000
 _MIB = 1024 * 1024
--- a/src/sardinemast/model/_orders.py
+++ b/src/sardinemast/model/_orders.py
@@ -23,7 +23,7 @@
 from sardinemast.model._clock import VirtualClock
 from sardinemast.model._instances import Instances
 from sardinemast.model._workers import SimulatedRun, SimulatedWorker
-from sardinemast.model._patterns import ActualTask, Arrival
+from sardinemast.model._workload import ActualTask, Arrival
 
 _NETWORK_DELAY_S = 0.001  # one way
 _STOP_DELAY_MAX_S = 0.5
--- a/src/sardinemast/model/_ledger.py
+++ b/src/sardinemast/model/_scoring.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from sardinemast.model._patterns import Arrival
+from sardinemast.model._workload import Arrival
 
 # Share of its value that a late job earns; it earns nothing once it has taken
 # this many times the time allowed.
--- a/src/sardinemast/model/_fleet.py
+++ b/src/sardinemast/model/_simulation.py
@@ -18,11 +18,11 @@
     SubmitJob,
 )
 from sardinemast.model._clock import VirtualClock
-from sardinemast.model._troubles import schedule_disruptions
+from sardinemast.model._disruptions import schedule_disruptions
 from sardinemast.model._instances import Instances
 from sardinemast.model._orders import OrderExecutor
-from sardinemast.model._ledger import DayRecord, DayResults, score_day
-from sardinemast.model._patterns import (
+from sardinemast.model._scoring import DayRecord, DayResults, score_day
+from sardinemast.model._workload import (
     Arrival,
     DayPattern,
     draw_arrivals,
