--- a/src/sardinemast/shell/_control.py
+++ b/src/sardinemast/shell/_control.py
@@ -106,7 +106,8 @@
         )
         self.loop = CoreLoop[control.ControlEvent, control.ControlOutput](
             self._step,
-            # Bound once: ``singledispatchmethod`` creates a function per access.
+            # Bound once: each access to a ``singledispatchmethod`` creates a
+            # function.
             self._execute,
             _make_tick,
         )
--- a/src/sardinemast/shell/_idempotent_requests.py
+++ b/src/sardinemast/shell/_idempotent_requests.py
@@ -114,7 +114,7 @@
         return refuse_unknown(
             'idempotency.E005',
             HTTPStatus.CONFLICT,
-            'The request has run; its response is not stored. Query the result.',
+            'The request has run; its response is not kept. Query the result.',
         )
     return refuse_unknown(
         'idempotency.E006',
--- a/src/sardinemast/shell/_request_heads.py
+++ b/src/sardinemast/shell/_request_heads.py
@@ -33,7 +33,8 @@
             return refuse_not_run(
                 'admission.E009',
                 HTTPStatus.BAD_REQUEST,
-                f'{DEADLINE_HEADER} must be the time left in seconds, such as 2.5.',
+                f'{DEADLINE_HEADER} must be the time left in seconds, '
+                'such as 2.5.',
             )
     key = _parse_bearer_key(headers.get(KEY_HEADER, ''))
     path = start_line.path.partition('?')[0]
