--- a/src/sardinemast/shell/_caller_streams.py
+++ b/src/sardinemast/shell/_caller_streams.py
@@ -61,8 +61,8 @@
             envelope = decode_frame_from(
                 websocket, frame, self._identity, self._access
             )
-            passed = unpack_call(envelope.body)
-            self._put(control.CallReceived(stream_id, *passed))
+            request = unpack_call(envelope.body)
+            self._put(control.CallReceived(stream_id, *request))
 
     def _remove_stream(self, stream_id: int) -> None:
         self._outboxes.pop(stream_id)
--- a/src/sardinemast/shell/_control.py
+++ b/src/sardinemast/shell/_control.py
@@ -88,7 +88,7 @@
             loaded.hard_state,
             loaded.entries,
             Random(),
-            folder=_forbid_bootstrap(loaded.folder, settings.cluster),
+            folder=_apply_may_found(loaded.folder, settings.cluster),
             snapshot=loaded.snapshot,
         )
         self._metrics.list_gauges = partial(
@@ -368,7 +368,7 @@
     )
 
 
-def _forbid_bootstrap(
+def _apply_may_found(
     folder: consensus.FolderIdentity,
     cluster: Cluster | None,
 ) -> consensus.FolderIdentity:
--- a/src/sardinemast/shell/_drain.py
+++ b/src/sardinemast/shell/_drain.py
@@ -11,7 +11,7 @@
 from sardinemast.entry import EntryCore
 
 _log = Logger('entry')
-_POLL_S = 0.02
+_POLL_INTERVAL_S = 0.02
 # Lets the load balancer notice that the entry is not ready while the port is
 # still open.
 _LINGER_S = 0.5
@@ -51,4 +51,4 @@
 async def _wait_while(condition: Callable[[], bool], timeout_s: float) -> None:
     deadline_s = time.monotonic() + timeout_s
     while condition() and time.monotonic() < deadline_s:
-        await asyncio.sleep(_POLL_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
--- a/src/sardinemast/shell/_entry.py
+++ b/src/sardinemast/shell/_entry.py
@@ -78,7 +78,7 @@
             access,
             self._handle_control_event,
         )
-        self._keys = KeyClaims(self.peers, self._admit, self._answer)
+        self._keys = KeyClaims(self.peers, self._admit, self._respond)
 
     def is_ready(self) -> bool:
         """Check whether the entry is ready to serve requests."""
@@ -120,11 +120,11 @@
         self._arrivals[request_id] = arrival._replace(request_id=request_id)
         self._record_arrival(request_id, arrival)
         if self._is_stopping:
-            self._answer(request_id, refuse_while_stopping())
+            self._respond(request_id, refuse_while_stopping())
             return request_id
         key = parse_key(request.headers, IDEMPOTENCY_HEADER)
         if isinstance(key, Refusal):
-            self._answer(request_id, key)
+            self._respond(request_id, key)
         elif key is None:
             self._admit(request_id)
         else:
@@ -164,15 +164,15 @@
         if pool is None or isinstance(self.check_head(arrival), Refusal):
             self._admit(request_id)
             return
-        left_s = cap_deadline(arrival.deadline_s, pool.deadline_s)
-        self._arrivals[request_id] = arrival._replace(deadline_s=left_s)
+        remaining_s = cap_deadline(arrival.deadline_s, pool.deadline_s)
+        self._arrivals[request_id] = arrival._replace(deadline_s=remaining_s)
         team = find_team_by_key(state, arrival.key_digest) or ''
         self._keys.claim(
             idempotency.ClaimRequested(
                 request_id,
                 digest_parts(team, arrival.pool, key),
                 digest_request(self._requests[request_id]),
-                left_s + idempotency.CLAIM_TIMEOUT_S,
+                remaining_s + idempotency.CLAIM_TIMEOUT_S,
             ),
         )
 
@@ -215,7 +215,7 @@
             request=output.request_id,
         )
         if attempt.response is not None:
-            self._answer(output.request_id, attempt.response)
+            self._respond(output.request_id, attempt.response)
 
     @_execute.register
     def _execute_refuse(self, output: entry.RefuseRequest) -> None:
@@ -226,13 +226,13 @@
             code=output.refusal.code,
             outcome=str(output.refusal.outcome),
         )
-        self._answer(output.request_id, output.refusal)
+        self._respond(output.request_id, output.refusal)
 
     @_execute.register
     def _execute_send(self, output: entry.SendToControl) -> None:
         self.control.send(output.message)
 
-    def _answer(self, request_id: int, response: CallerResponse) -> None:
+    def _respond(self, request_id: int, response: CallerResponse) -> None:
         self._keys.record_response(request_id, response)
         self.metrics.record_response(request_id, response)
         self._arrivals.pop(request_id, None)
@@ -281,16 +281,16 @@
     entry_server = EntryServer(settings, identity)
     async with entry_server.listen_for_peers(settings.callers.host):
         server = listen_for_callers(entry_server, settings.callers)
-        serving = asyncio.create_task(_serve(entry_server))
+        serve_task = asyncio.create_task(_serve(entry_server))
         _log.info('Entry {} is listening.', settings.name)
         try:
-            await asyncio.shield(serving)
+            await asyncio.shield(serve_task)
         except asyncio.CancelledError:
             await drain(entry_server, server)
             raise
         finally:
             server.stop()
-            serving.cancel()
+            serve_task.cancel()
 
 
 async def _serve(entry_server: EntryServer) -> None:
--- a/src/sardinemast/shell/_entry_peers.py
+++ b/src/sardinemast/shell/_entry_peers.py
@@ -25,7 +25,7 @@
 
 _log = Logger('keys')
 
-Decide = Callable[[idempotency.ClaimDecided], None]
+DecisionCallback = Callable[[idempotency.ClaimDecided], None]
 
 
 class EntryPeers:
@@ -44,7 +44,7 @@
         self._addresses: dict[str, Address] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._senders: dict[str, PeerSender] = {}
-        self._deciding: dict[int, Decide] = {}
+        self._callbacks: dict[int, DecisionCallback] = {}
 
     def holds_keys(self) -> bool:
         """Check whether this entry has received the keys of other holders."""
@@ -54,7 +54,7 @@
     async def listen(self, host: str) -> AsyncIterator[Address]:
         """Listen for other entries, and yield the address."""
         async with serve(
-            self._read,
+            self._handle_connection,
             host,
             0,
             ssl=self._access.server_context,
@@ -68,12 +68,12 @@
 
     def claim(
         self,
-        wanted: idempotency.ClaimRequested,
-        decide: Decide,
+        claim_request: idempotency.ClaimRequested,
+        on_decision: DecisionCallback,
     ) -> None:
         """Claim an idempotency key and report the decision to a callback."""
-        self._deciding[wanted.request_id] = decide
-        self.loop.put(wanted)
+        self._callbacks[claim_request.request_id] = on_decision
+        self.loop.put(claim_request)
 
     def update_entries(self, entries: Iterable[EntryProcess]) -> None:
         """Update the members and streams from the replicated state."""
@@ -98,15 +98,15 @@
     def _connect(self, name: str, address: Address) -> None:
         if self._addresses.get(name) == address:
             return
-        former = self._tasks.get(name)
-        if former is not None:
-            former.cancel()
+        previous = self._tasks.get(name)
+        if previous is not None:
+            previous.cancel()
         sender = PeerSender(self._identity, address, self._access)
         self._addresses[name] = address
         self._senders[name] = sender
         self._tasks[name] = asyncio.create_task(sender.run())
 
-    async def _read(self, websocket: ServerConnection) -> None:
+    async def _handle_connection(self, websocket: ServerConnection) -> None:
         with suppress(ConnectionClosed, WireError):
             async for frame in websocket:
                 envelope = decode_frame_from(
@@ -138,4 +138,4 @@
             request=output.request_id,
             verdict=str(output.verdict),
         )
-        self._deciding.pop(output.request_id)(output)
+        self._callbacks.pop(output.request_id)(output)
--- a/src/sardinemast/shell/_idempotent_requests.py
+++ b/src/sardinemast/shell/_idempotent_requests.py
@@ -56,10 +56,9 @@
 
 
 def cap_deadline(requested_s: float | None, default_s: float) -> float:
-    """Return the time left, bounded so that the request ends before its key.
+    """Return the time left, bounded to end before the claim expires.
 
-    Holders discard a claim some minutes after it. A request that still ran
-    then could run a second time at a resend.
+    Otherwise a resend could run while the first request is still running.
     """
     remaining_s = default_s if requested_s is None else requested_s
     return min(remaining_s, _MAX_DEADLINE_S)
--- a/src/sardinemast/shell/_loop.py
+++ b/src/sardinemast/shell/_loop.py
@@ -63,14 +63,14 @@
     def _process_inbox(self) -> None:
         self._is_processing = True
         try:
-            waiting = self._process_until_blocked()
+            pending = self._process_until_blocked()
         except Exception as error:
             self._fail(error)
             return
-        if waiting is None:
+        if pending is None:
             self._is_processing = False
         else:
-            waiting.add_done_callback(self._resume)
+            pending.add_done_callback(self._resume)
 
     def _process_until_blocked(self) -> asyncio.Future[None] | None:
         while self._outputs or self._inbox:
@@ -78,15 +78,15 @@
                 event = self._inbox.popleft()
                 self._outputs.extend(self._step(event, time.monotonic()))
                 continue
-            waiting = self._execute(self._outputs.popleft())
-            if waiting is not None:
-                return waiting
+            pending = self._execute(self._outputs.popleft())
+            if pending is not None:
+                return pending
         return None
 
-    def _resume(self, waited: asyncio.Future[None]) -> None:
-        if not self._is_running or waited.cancelled():
+    def _resume(self, completed: asyncio.Future[None]) -> None:
+        if not self._is_running or completed.cancelled():
             return
-        error = waited.exception()
+        error = completed.exception()
         if error is None:
             self._process_inbox()
         else:
--- a/src/sardinemast/shell/_relay.py
+++ b/src/sardinemast/shell/_relay.py
@@ -110,7 +110,7 @@
 
     async def call(self, call: Call, timeout_s: float) -> CallAnswer:
         """Send a call and wait for the answer."""
-        due_s = time.monotonic() + timeout_s
+        deadline_s = time.monotonic() + timeout_s
         if not await self._wait_for_leader(min(timeout_s, _LEADER_WAIT_S)):
             return CallAnswer(CallOutcome.refused, text='No leader is known.')
         call_id = next(self._call_ids)
@@ -119,7 +119,7 @@
         self._pending[call_id] = pending
         self._send(pending)
         try:
-            async with asyncio.timeout(due_s - time.monotonic()):
+            async with asyncio.timeout(deadline_s - time.monotonic()):
                 return await answer  # type: ignore[no-any-return]
         except TimeoutError:
             return CallAnswer(CallOutcome.uncertain, text='No answer in time.')
@@ -240,20 +240,20 @@
             for pending in self._pending.values():
                 self._send(pending)
 
-    def _handle_answer(self, request: PassAnswer) -> None:
-        pending = self._pending.get(request.call_id)
+    def _handle_answer(self, message: PassAnswer) -> None:
+        pending = self._pending.get(message.call_id)
         if pending is None or pending.answer.done():
             return
-        if not self._is_inconclusive(request):
-            pending.answer.set_result(request.answer)
+        if not self._is_inconclusive(message):
+            pending.answer.set_result(message.answer)
 
-    def _is_inconclusive(self, request: PassAnswer) -> bool:
+    def _is_inconclusive(self, message: PassAnswer) -> bool:
         """Check whether an answer leaves the outcome of the call open."""
         # A leader that lost its term does not know the outcome. The call is
         # resent to the next leader.
-        if request.answer.outcome is CallOutcome.uncertain:
+        if message.answer.outcome is CallOutcome.uncertain:
             return True
         # After a resend, a refusal by one process does not exclude that
         # another one has forwarded the call before.
-        is_refused = request.answer.outcome is CallOutcome.refused
-        return is_refused and request.call_id in self._resent
+        is_refused = message.answer.outcome is CallOutcome.refused
+        return is_refused and message.call_id in self._resent
--- a/src/sardinemast/shell/_request_heads.py
+++ b/src/sardinemast/shell/_request_heads.py
@@ -15,7 +15,7 @@
 )
 
 _URGENT = 'urgent'
-_REPEATABLE = frozenset(('GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'))
+_REPEATABLE_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'))
 _BEARER = 'bearer '
 
 
@@ -42,7 +42,7 @@
         request_id=0,
         pool=path.lstrip('/').partition('/')[0],
         key_digest=digest_key(key) if key else b'',
-        is_repeatable=start_line.method in _REPEATABLE,
+        is_repeatable=start_line.method in _REPEATABLE_METHODS,
         deadline_s=deadline_s,
         body_bytes=body_bytes,
         is_urgent=headers.get(PRIORITY_HEADER) == _URGENT,
