--- a/src/sardinemast/cli/__init__.py
+++ b/src/sardinemast/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line ``sardinemast``."""
+"""Command line ``sardinemast``."""
 
 from sardinemast.cli._main import main, run
 
--- a/src/sardinemast/cli/__main__.py
+++ b/src/sardinemast/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line by ``python -m sardinemast.cli``."""
+"""Run the command line: ``python -m sardinemast.cli``."""
 
 from sardinemast.cli import main
 
--- a/src/sardinemast/cli/_addresses.py
+++ b/src/sardinemast/cli/_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses that the command line talks to."""
+"""Addresses of the processes that the command line connects to."""
 
 import os
 from typing import Any
@@ -10,10 +10,10 @@
 
 
 def get_controls(controls: Any = '') -> list[str]:
-    """Give the control processes to ask.
+    """Return the addresses of the control processes.
 
     They come from the argument, else from the environment variable
-    ``SARDINEMAST_CONTROLS``, else the embedded default's address is taken.
+    ``SARDINEMAST_CONTROLS``, else from the default.
     """
     return split_addresses(
         controls or os.environ.get(CONTROLS_VARIABLE, '') or _DEFAULT_CONTROLS,
@@ -21,7 +21,7 @@
 
 
 def split_addresses(addresses: Any) -> list[str]:
-    """Give the addresses of a text with commas, or raise ``cli.E003``."""
+    """Return the comma-separated addresses, or raise ``cli.E003``."""
     parts = addresses
     if isinstance(addresses, str):
         parts = addresses.split(',')
@@ -31,7 +31,7 @@
         if not host or not port.isdecimal():
             raise UsageError(
                 'cli.E003',
-                f'{address!r} is no address.',
-                'Give HOST:PORT, several with commas between.',
+                f'{address!r} is not a valid address.',
+                'Use HOST:PORT, separated by commas.',
             )
     return found
--- a/src/sardinemast/cli/_client.py
+++ b/src/sardinemast/cli/_client.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP from the side of the command line."""
+"""Client of the operators' HTTP API."""
 
 import json
 import os
@@ -22,24 +22,26 @@
 
 _TIMEOUT_S = 15.0
 CREDENTIALS_VARIABLE = 'SARDINEMAST_CREDENTIALS'
-_NO_ANSWER = 599
+_NO_RESPONSE_CODE = 599
 _COMMANDS_PATH = '/v1/commands'
 _NOT_LEADER = 'control.E001'
 
 
 def send_command(controls: Sequence[str], command: Command) -> dict[str, Any]:
-    """Send a command to whichever process leads, and give the answer.
+    """Send a command to the leader and return its answer.
 
-    Raises ``CliError`` with the refusal's code where nothing was changed,
-    and ``UnreachableError`` where the outcome is not known.
+    Raises ``CliError`` with the code of the refusal if nothing was changed,
+    and ``UnreachableError`` if the outcome is unknown.
     """
     command_id = getattr(command, 'command_id', '')
     try:
-        answer = ask_leader(controls, _COMMANDS_PATH, COMMANDS.encode(command))
+        answer = request_leader(
+            controls, _COMMANDS_PATH, COMMANDS.encode(command)
+        )
     except UnreachableError as error:
-        # Without the id the operator could only send a second command, which
-        # may do the same thing twice.
-        hint = f'To send it again, add --command_id={command_id}.'
+        # A retry with the same id is idempotent; with a new id, the command
+        # could be executed twice.
+        hint = f'To retry it, add --command_id={command_id}.'
         raise UnreachableError(error.code, error.text, hint) from error
     if answer.get('is_accepted'):
         return {'command_id': command_id, **answer}
@@ -48,12 +50,12 @@
     raise CliError(str(answer['code']), str(answer.get('text', '')))
 
 
-def ask_leader(
+def request_leader(
     controls: Sequence[str],
     path: str,
     body: bytes | None = None,
 ) -> dict[str, Any]:
-    """Ask each control process in turn until the leader answers."""
+    """Send a request to each control process until the leader answers."""
     problems = []
     for address in controls:
         try:
@@ -63,20 +65,20 @@
             continue
         if answer.get('code') != _NOT_LEADER:
             return answer
-        problems.append(f'{address} does not lead')
+        problems.append(f'{address}: not the leader')
     raise UnreachableError(
         'cli.E001',
-        f'No control process leads ({"; ".join(problems)}).',
-        'Try again in a second.',
+        f'No leader was reached ({"; ".join(problems)}).',
+        'Retry in a second.',
     )
 
 
-def fetch_any_scheme(address: str, path: str) -> dict[str, Any]:
-    """Ask a control process, or an entry at its callers' address.
+def fetch_either_scheme(address: str, path: str) -> dict[str, Any]:
+    """Send a request to an entry or a control process, by HTTP or HTTPS.
 
-    Callers' addresses take plain HTTP behind the balancer also where control
-    processes want certificates. Plain HTTP is tried first: a control process
-    breaks it off at once, while an entry would wait for a handshake to end.
+    Entries serve plain HTTP even if control processes require certificates.
+    Plain HTTP is tried first, because a control process rejects it at once,
+    while an entry would wait for a TLS handshake to complete.
     """
     try:
         return fetch(f'http://{address}{path}')
@@ -87,21 +89,21 @@
 
 
 def fetch(url: str, body: bytes | None = None) -> dict[str, Any]:
-    """Send one request, and give the JSON map of the answer.
+    """Send one request and return the JSON object of the response.
 
-    Raises ``OSError`` where there was no answer, and ``UnreachableError``
-    where the other side does not know the outcome.
+    Raises ``OSError`` if there was no response, and ``UnreachableError`` if
+    the server does not know the outcome.
     """
-    response = _fetch_raw(url, body)
-    if response.code == _NO_ANSWER:
+    response = _send_request(url, body)
+    if response.code == _NO_RESPONSE_CODE:
         raise OSError(str(response.error))
     try:
         answer = json.loads(response.body)
     except ValueError:
         raise CliError(
             'cli.E005',
-            f'{url} answered {response.code} and no JSON.',
-            'Check that the address is one of sardinemast.',
+            f'The {response.code} response of {url} is not JSON.',
+            'Check that the address belongs to a sardinemast process.',
         ) from None
     if response.code == HTTPStatus.GATEWAY_TIMEOUT:
         raise UnreachableError(str(answer['code']), str(answer['text']))
@@ -109,7 +111,7 @@
 
 
 def get_scheme() -> str:
-    """Give the scheme of operators' addresses."""
+    """Return the URL scheme of operators' addresses."""
     return 'https' if os.environ.get(CREDENTIALS_VARIABLE) else 'http'
 
 
@@ -117,25 +119,25 @@
     folder = os.environ.get(CREDENTIALS_VARIABLE)
     if not folder:
         return None
-    place = Path(folder)
+    folder_path = Path(folder)
     try:
         return create_client_context(
             Security(
-                place / 'authority.pem',
-                place / 'certificate.pem',
-                place / 'private-key.pem',
+                folder_path / 'authority.pem',
+                folder_path / 'certificate.pem',
+                folder_path / 'private-key.pem',
             ),
         )
     except OSError as error:
         raise UsageError(
             'cli.E009',
-            f'No credentials in {folder}: {error}.',
-            f'{CREDENTIALS_VARIABLE} names a folder with authority.pem, '
+            f'Cannot load credentials from {folder}: {error}.',
+            f'{CREDENTIALS_VARIABLE} must name a folder with authority.pem, '
             'certificate.pem and private-key.pem.',
         ) from error
 
 
-def _fetch_raw(url: str, body: bytes | None) -> HTTPResponse:
+def _send_request(url: str, body: bytes | None) -> HTTPResponse:
     client = HTTPClient()
     request = HTTPRequest(
         url,
@@ -147,8 +149,8 @@
     try:
         return client.fetch(request, raise_error=False)
     except HTTPError as error:
-        # A process that is frozen takes the connection and never answers.
-        # Without this, the next one would not be asked.
+        # A frozen process accepts connections but never answers. As an
+        # OSError, the timeout lets the caller try the next process.
         raise OSError(str(error)) from error
     finally:
         client.close()
--- a/src/sardinemast/cli/_main.py
+++ b/src/sardinemast/cli/_main.py
@@ -38,51 +38,51 @@
 
 
 def main() -> None:
-    """Read the command line, run one call, and set the exit code."""
+    """Parse the command line, run one call and exit with its code."""
     sys.exit(run(sys.argv[1:]))
 
 
 def run(arguments: list[str]) -> int:
-    """Run one call and give the exit code; problems are one line each."""
+    """Run one call and return its exit code; report errors on stderr."""
     try:
-        words, output = split_output(arguments)
-        _fire(words, get_formatter(output))
+        call_arguments, output = split_output(arguments)
+        _fire(call_arguments, get_formatter(output))
     except CodedError as error:
         return _report(str(error), _get_exit_code(error))
     except OSError as error:
-        hint = 'Check the address and try again.'
+        hint = 'Check the address and retry.'
         problem = CliError('cli.E008', f'{error}.', hint)
         return _report(str(problem), ExitCode.unknown)
-    except fire.core.FireExit as leaving:
-        return int(leaving.code or 0)
+    except fire.core.FireExit as fire_exit:
+        return int(fire_exit.code or 0)
     return ExitCode.done
 
 
 def split_output(arguments: list[str]) -> tuple[list[str], str]:
-    """Take ``--output NAME`` out of the words, wherever it stands."""
-    words: list[str] = []
+    """Return the arguments without ``--output``, and its value."""
+    call_arguments: list[str] = []
     output = _DEFAULT_OUTPUT
-    rest = iter(arguments)
-    for word in rest:
-        name, sign, given = word.partition('=')
+    remaining = iter(arguments)
+    for argument in remaining:
+        name, separator, option_value = argument.partition('=')
         if name == _OUTPUT:
-            output = given if sign else next(rest, '')
+            output = option_value if separator else next(remaining, '')
         else:
-            words.append(word)
-    return words, output
+            call_arguments.append(argument)
+    return call_arguments, output
 
 
-def _fire(words: list[str], formatter: Formatter) -> None:
+def _fire(call_arguments: list[str], formatter: Formatter) -> None:
     fire.Fire(
         dict(_CALLS),
-        command=words,
+        command=call_arguments,
         name='sardinemast',
         serialize=lambda answer: _serialize(answer, formatter),
     )
 
 
 def _serialize(answer: Any, formatter: Formatter) -> Any:
-    # Without a call, fire hands over the calls themselves and shows help.
+    # Without a call, fire serializes the map of calls to show the help.
     if isinstance(answer, dict) and answer.keys() == _CALLS.keys():
         return answer
     return answer if isinstance(answer, str) else formatter(answer)
--- a/src/sardinemast/cli/_output.py
+++ b/src/sardinemast/cli/_output.py
@@ -1,4 +1,4 @@
-"""Answers as a table, JSON or YAML."""
+"""Formatters of answers: table, JSON and YAML."""
 
 import json
 from collections.abc import Callable, Mapping, Sequence
@@ -13,51 +13,52 @@
 
 
 def get_formatter(name: str) -> Formatter:
-    """Give the formatter of the name, or raise ``cli.E004``."""
+    """Return the named formatter, or raise ``cli.E004``."""
     formatter = _FORMATTERS.get(name)
     if formatter is None:
         raise UsageError(
             'cli.E004',
-            f'No output {name!r}.',
-            f'Known are {", ".join(_FORMATTERS)}.',
+            f'Unknown output format {name!r}.',
+            f'Known formats: {", ".join(_FORMATTERS)}.',
         )
     return formatter
 
 
 def format_json(answer: Any) -> str:
-    """Give an answer as JSON."""
+    """Return an answer as JSON."""
     return json.dumps(answer, indent=2, default=str)
 
 
 def format_yaml(answer: Any) -> str:
-    """Give an answer as YAML."""
+    """Return an answer as YAML."""
     plain = json.loads(format_json(answer))
     return yaml.safe_dump(plain, sort_keys=False).rstrip()
 
 
 def format_table(answer: Any) -> str:
-    """Give an answer as lines for people."""
+    """Return an answer as human-readable lines and tables."""
     if isinstance(answer, Mapping):
         return '\n'.join(
-            _format_field(str(name), shown) for name, shown in answer.items()
+            _format_field(str(name), field_value)
+            for name, field_value in answer.items()
         )
     return str(answer)
 
 
-def _format_field(name: str, shown: Any) -> str:
-    if _is_rows(shown):
-        return f'{name}:\n{_format_rows(shown)}'
-    if isinstance(shown, Mapping):
-        return f'{name}: {json.dumps(shown, default=str)}'
-    return f'{name}: {shown}'
+def _format_field(name: str, field_value: Any) -> str:
+    if _is_rows(field_value):
+        return f'{name}:\n{_format_rows(field_value)}'
+    if isinstance(field_value, Mapping):
+        return f'{name}: {json.dumps(field_value, default=str)}'
+    return f'{name}: {field_value}'
 
 
-def _is_rows(shown: Any) -> bool:
+def _is_rows(field_value: Any) -> bool:
     return (
-        isinstance(shown, Sequence)
-        and not isinstance(shown, str)
-        and bool(shown)
-        and all(isinstance(row, Mapping) for row in shown)
+        isinstance(field_value, Sequence)
+        and not isinstance(field_value, str)
+        and bool(field_value)
+        and all(isinstance(row, Mapping) for row in field_value)
     )
 
 
--- a/src/sardinemast/cli/commands.py
+++ b/src/sardinemast/cli/commands.py
@@ -1,4 +1,4 @@
-"""Commands: what changes something."""
+"""Calls that change the state of the fleet."""
 
 import secrets
 import uuid
@@ -6,7 +6,7 @@
 from typing import Any
 
 from sardinemast.cli._addresses import get_controls
-from sardinemast.cli._client import ask_leader, send_command
+from sardinemast.cli._client import request_leader, send_command
 from sardinemast.cli.exceptions import CliError
 from sardinemast.conf import load_fleet_files
 from sardinemast.fleet import (
@@ -28,13 +28,13 @@
     controls: str = '',
     command_id: str = '',
 ) -> dict[str, Any]:
-    """Put a base file and its overlays in force, as one change.
+    """Apply a base file and its overlays as one change.
 
     Args:
         base: The base file, with sites, pools and teams.
-        overlays: Files that change pools for one site each.
+        overlays: Files that each change the pools of one site.
         controls: Operators' addresses of the control processes.
-        command_id: Give the id that was shown, to send a command again.
+        command_id: The id that was shown, to retry a command.
 
     """
     document = load_fleet_files(
@@ -42,7 +42,7 @@
         [Path(str(overlay)) for overlay in overlays],
     )
     addresses = get_controls(controls)
-    version = ask_leader(addresses, '/v1/state')['version']
+    version = request_leader(addresses, '/v1/state')['version']
     command = ApplyDocument(make_id(command_id), version, document)
     return send_command(addresses, command)
 
@@ -53,22 +53,22 @@
     controls: str = '',
     command_id: str = '',
 ) -> dict[str, Any]:
-    """Make a key for a team and show it, this one time.
+    """Create an API key for a team and show it once.
 
     Args:
-        team: The team that the key's callers work for.
-        key_id: A name to withdraw the key by; made up where left out.
+        team: The team of the callers that use the key.
+        key_id: A name to withdraw the key by; generated if omitted.
         controls: Operators' addresses of the control processes.
-        command_id: Name the command; a new key is made all the same.
+        command_id: An id for the command; a new key is created anyway.
 
     """
     key = secrets.token_urlsafe(_KEY_BYTES)
-    named = make_id(key_id)
+    granted_id = make_id(key_id)
     answer = send_command(
         get_controls(controls),
-        GrantKey(make_id(command_id), named, str(team), digest_key(key)),
+        GrantKey(make_id(command_id), granted_id, str(team), digest_key(key)),
     )
-    return {**answer, 'key_id': named, 'key': key}
+    return {**answer, 'key_id': granted_id, 'key': key}
 
 
 def withdraw_key(
@@ -76,12 +76,12 @@
     controls: str = '',
     command_id: str = '',
 ) -> dict[str, Any]:
-    """Stop a key from working, everywhere.
+    """Revoke an API key at all entries.
 
     Args:
-        key_id: The name that was shown when the key was made.
+        key_id: The name that was shown when the key was created.
         controls: Operators' addresses of the control processes.
-        command_id: Give the id that was shown, to send a command again.
+        command_id: The id that was shown, to retry a command.
 
     """
     command = WithdrawKey(make_id(command_id), str(key_id))
@@ -94,13 +94,13 @@
     controls: str = '',
     command_id: str = '',
 ) -> dict[str, Any]:
-    """Put an instance into a pool; it leaves the one it was in.
+    """Assign an instance to a pool, and remove it from its previous one.
 
     Args:
-        instance: The name under which the instance announces itself.
-        pool: The pool to put it into.
+        instance: The name that the instance announces.
+        pool: The new pool of the instance.
         controls: Operators' addresses of the control processes.
-        command_id: Give the id that was shown, to send a command again.
+        command_id: The id that was shown, to retry a command.
 
     """
     command = AssignInstance(make_id(command_id), str(instance), str(pool))
@@ -112,16 +112,16 @@
     controls: str = '',
     command_id: str = '',
 ) -> dict[str, Any]:
-    """Put an earlier version of the configuration in force, as a new one.
+    """Apply an earlier version of the configuration as a new version.
 
     Args:
-        version: The number of the version, as history shows it.
+        version: The number of the version, as shown by history.
         controls: Operators' addresses of the control processes.
-        command_id: Give the id that was shown, to send a command again.
+        command_id: The id that was shown, to retry a command.
 
     """
     addresses = get_controls(controls)
-    based_on = ask_leader(addresses, '/v1/state')['version']
+    based_on = request_leader(addresses, '/v1/state')['version']
     command = RestoreVersion(make_id(command_id), based_on, int(version))
     return send_command(addresses, command)
 
@@ -131,12 +131,12 @@
     controls: str = '',
     command_id: str = '',
 ) -> dict[str, Any]:
-    """Take an instance that is gone for good out of its pool.
+    """Remove a decommissioned instance from its pool.
 
     Args:
-        instance: The name under which the instance announced itself.
+        instance: The name that the instance announced.
         controls: Operators' addresses of the control processes.
-        command_id: Give the id that was shown, to send a command again.
+        command_id: The id that was shown, to retry a command.
 
     """
     command = ForgetInstance(make_id(command_id), str(instance))
@@ -144,14 +144,14 @@
 
 
 def repair_replica(name: str, controls: str = '') -> dict[str, Any]:
-    """Have a replica set its data folder aside and join with a new one.
+    """Make a replica set its data folder aside and join with an empty one.
 
     Args:
         name: The control process whose data folder is lost or damaged.
         controls: Operators' addresses of the control processes.
 
     """
-    answer = ask_leader(
+    answer = request_leader(
         get_controls(controls),
         f'/v1/replicas/{name}/repair',
         b'',
@@ -161,6 +161,6 @@
     raise CliError(str(answer['code']), str(answer['text']))
 
 
-def make_id(given: str = '') -> str:
-    """Give the id that was given, or one that no other command has."""
-    return str(given) or uuid.uuid4().hex
+def make_id(requested_id: str = '') -> str:
+    """Return the given id, or a new unique one."""
+    return str(requested_id) or uuid.uuid4().hex
--- a/src/sardinemast/cli/exceptions.py
+++ b/src/sardinemast/cli/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors and exit codes of the command line."""
+"""Exceptions and exit codes of the command line."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """Tell scripts how a run ended."""
+    """Report the outcome of a call to scripts."""
 
     done = 0
     refused = 1
@@ -17,18 +17,18 @@
 
 
 class CliError(CodedError):
-    """Report what an operator asked for and did not get."""
+    """Report a call that failed or was refused."""
 
     exit_code = ExitCode.refused
 
 
 class UnreachableError(CliError):
-    """Report that nobody could answer, so that the outcome is not known."""
+    """Report that no answer arrived, so that the outcome is unknown."""
 
     exit_code = ExitCode.unknown
 
 
 class UsageError(CliError):
-    """Report an argument that makes no sense."""
+    """Report an invalid argument."""
 
     exit_code = ExitCode.usage
--- a/src/sardinemast/cli/queries.py
+++ b/src/sardinemast/cli/queries.py
@@ -1,15 +1,15 @@
-"""Queries: what only shows something."""
+"""Calls that show state without changing it."""
 
 from pathlib import Path
 from typing import Any
 
 from sardinemast.cli._addresses import get_controls, split_addresses
-from sardinemast.cli._client import ask_leader, fetch
+from sardinemast.cli._client import fetch, request_leader
 from sardinemast.cli._timeline import (
-    Filter,
+    EventFilter,
     collect_events,
-    draw_picture,
     follow_events,
+    render_html,
 )
 from sardinemast.cli.exceptions import CliError
 from sardinemast.conf import load_fleet_files, load_process_file
@@ -18,31 +18,31 @@
 
 
 def show(controls: str = '') -> dict[str, Any]:
-    """Show the state as the leader has it.
+    """Show the state of the fleet at the leader.
 
     Args:
         controls: Operators' addresses of the control processes.
 
     """
-    return ask_leader(get_controls(controls), '/v1/state')
+    return request_leader(get_controls(controls), '/v1/state')
 
 
 def replicas(controls: str = '') -> dict[str, Any]:
-    """Show the replicas of the log as the leader has them.
+    """Show the replicas of the log as seen by the leader.
 
     Args:
         controls: Operators' addresses of the control processes.
 
     """
-    return ask_leader(get_controls(controls), '/v1/replicas')
+    return request_leader(get_controls(controls), '/v1/replicas')
 
 
 def check(base: str, *overlays: str) -> dict[str, Any]:
-    """Check a base file and its overlays without changing anything.
+    """Validate a base file and its overlays.
 
     Args:
         base: The base file.
-        overlays: Overlays, one for a site.
+        overlays: Overlays, one per site.
 
     """
     document = load_fleet_files(
@@ -58,10 +58,10 @@
 
 
 def check_process(settings: str) -> dict[str, Any]:
-    """Check the settings file of one process.
+    """Validate the settings file of a process.
 
     Args:
-        settings: The file that sardinemastd would be started with.
+        settings: The settings file of sardinemastd.
 
     """
     found = load_process_file(Path(str(settings)))
@@ -69,7 +69,7 @@
 
 
 def health(*entries: str) -> dict[str, Any]:
-    """Show which entries may serve.
+    """Show which entries are ready to serve.
 
     Args:
         entries: Callers' addresses of entries.
@@ -89,14 +89,14 @@
 def _describe_health(answer: dict[str, Any]) -> str:
     if not answer.get('is_ready'):
         return 'not serving'
-    # A rolling restart that goes on now leaves two holders of a key away.
+    # Restarting the next entry now would take a second key holder down.
     if not answer.get('holds_keys'):
         return 'serving, does not hold keys yet'
     return 'serving'
 
 
 def latencies(*entries: str) -> dict[str, Any]:
-    """Merge the latencies of entries, by team, service and upstream.
+    """Show the merged latencies of entries by team, service and upstream.
 
     Args:
         entries: Callers' addresses of entries.
@@ -111,18 +111,18 @@
 
 
 def history(controls: str = '') -> dict[str, Any]:
-    """Show the versions of the configuration that are kept.
+    """Show the retained versions of the configuration.
 
     Args:
         controls: Operators' addresses of the control processes.
 
     """
-    state = ask_leader(get_controls(controls), '/v1/state')
+    state = request_leader(get_controls(controls), '/v1/state')
     return {'in place': state['version'], 'versions': state['versions']}
 
 
 def diff(before: int, after: int, controls: str = '') -> dict[str, Any]:
-    """Show what differs between two versions of the configuration.
+    """Show the differences between two versions of the configuration.
 
     Args:
         before: The number of one version.
@@ -131,7 +131,7 @@
 
     """
     path = f'/v1/diff/{before}/{after}'
-    answer = ask_leader(get_controls(controls), path)
+    answer = request_leader(get_controls(controls), path)
     if 'changes' in answer:
         return answer
     raise CliError(str(answer['code']), str(answer['text']))
@@ -146,7 +146,7 @@
     picture: str = '',
     is_followed: bool = False,
 ) -> str:
-    """Merge the events of processes into one time line.
+    """Show the events of processes on one timeline.
 
     Args:
         processes: Addresses of entries (callers) and control processes
@@ -154,18 +154,18 @@
         kind: Show only events of this kind, such as "attempt started".
         matching: Show only events with these details, such as
             "request=5,upstream=enrol-1"; also process=NAME.
-        since: Show only events from this moment on (ISO 8601, UTC).
-        until: Show only events before this moment.
-        picture: Write a picture to this file, to be opened in a browser.
-        is_followed: Go on showing new events until interrupted.
+        since: Show only events at or after this time (ISO 8601, UTC).
+        until: Show only events before this time.
+        picture: Write the timeline to this HTML file.
+        is_followed: Keep showing new events until interrupted.
 
     """
-    wanted = Filter.parse(kind, matching, since, until)
+    event_filter = EventFilter.parse(kind, matching, since, until)
     addresses = split_addresses(processes)
     if is_followed:
-        follow_events(addresses, wanted)
-    events = collect_events(addresses, wanted)
+        follow_events(addresses, event_filter)
+    events = collect_events(addresses, event_filter)
     if picture:
-        Path(str(picture)).write_text(draw_picture(events))
-        return f'{len(events)} events are drawn in {picture}.'
+        Path(str(picture)).write_text(render_html(events))
+        return f'{len(events)} events were written to {picture}.'
     return '\n'.join(map(format_event, events))
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, outputs, and what it says."""
+"""Exit codes, output and error messages of the command line."""
 
 import json
 from pathlib import Path
@@ -15,11 +15,11 @@
 
 
 @pytest.mark.parametrize('name', ['kerlann', 'atlas', 'local'])
-def test_examples_have_no_finding(
+def test_examples_have_no_findings(
     name: str,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """The example fleets pass the check."""
+    """Guard against invalid settings in the examples."""
     folder = _EXAMPLES / name
     overlays = map(str, folder.glob('site-*.yaml'))
     words = ['check', str(folder / 'base.yaml'), *overlays, '--output=json']
@@ -27,11 +27,11 @@
     assert json.loads(capsys.readouterr().out)['findings'] == 0
 
 
-def test_all_findings_end_with_their_own_code(
+def test_findings_are_reported_with_own_exit_code(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """A script can tell mistakes in settings from other failures."""
+    """Report all findings, with an exit code that scripts can check."""
     base = tmp_path / 'base.yaml'
     base.write_text('sites: {}\npools: {a: {slots: 0}}\nteams: 3\n')
     assert run(['check', str(base)]) == ExitCode.findings
@@ -40,14 +40,12 @@
     assert 'base.yaml:3:8: error: conf.E008' in shown
 
 
-def test_unreachable_says_how_to_send_again(
+def test_unknown_outcome_shows_command_id(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Show the command id when the outcome is not known.
+    """Show the command id if the outcome is unknown.
 
-    The control processes cannot be reached after a command was sent, and
-    whether it was accepted is not known. Without the id the operator can
-    only send a second command.
+    Guards against a retry with a new id, which may execute a command twice.
     """
     words = ['withdraw-key', 'k1', '--command_id=c7', _NOBODY]
     assert run(words) == ExitCode.unknown
@@ -63,18 +61,18 @@
         (['timeline', '127.0.0.1:1', '--matching=noon'], 'cli.E006'),
     ],
 )
-def test_usage_is_told_by_code(
+def test_invalid_argument_has_error_code(
     words: list[str],
     code: str,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """A word that makes no sense gets its code and exit code 2."""
+    """Report an invalid argument with its code and the usage exit code."""
     assert run(words) == ExitCode.usage
     assert capsys.readouterr().err.startswith(code)
 
 
 @example(['\x00'])
 @given(st.lists(st.text(max_size=12), max_size=4))
-def test_any_words_end_in_an_exit_code(words: list[str]) -> None:
-    """No command line ends in a stack trace."""
+def test_arbitrary_arguments_end_with_exit_code(words: list[str]) -> None:
+    """Guard against command lines that end in a stack trace."""
     assert run(['check', *words]) in set(ExitCode)
