--- a/src/sardinemast/cli/_addresses.py
+++ b/src/sardinemast/cli/_addresses.py
@@ -25,8 +25,8 @@
     parts = addresses
     if isinstance(addresses, str):
         parts = addresses.split(',')
-    found = [str(part).strip() for part in parts]
-    for address in found:
+    parsed_addresses = [str(part).strip() for part in parts]
+    for address in parsed_addresses:
         host, _, port = address.rpartition(':')
         if not host or not port.isdecimal():
             raise UsageError(
@@ -34,4 +34,4 @@
                 f'{address!r} is not a valid address.',
                 'Use HOST:PORT, separated by commas.',
             )
-    return found
+    return parsed_addresses
--- a/src/sardinemast/cli/queries.py
+++ b/src/sardinemast/cli/queries.py
@@ -64,8 +64,12 @@
         settings: The settings file of sardinemastd.
 
     """
-    found = load_process_file(Path(str(settings)))
-    return {'findings': 0, 'name': found.name, 'roles': list(found.roles)}
+    process_settings = load_process_file(Path(str(settings)))
+    return {
+        'findings': 0,
+        'name': process_settings.name,
+        'roles': list(process_settings.roles),
+    }
 
 
 def health(*entries: str) -> dict[str, Any]:
@@ -75,15 +79,15 @@
         entries: Callers' addresses of entries.
 
     """
-    found: dict[str, Any] = {}
+    health_by_address: dict[str, Any] = {}
     for address in split_addresses(entries):
         try:
             answer = fetch(f'http://{address}/-/health')
         except OSError as error:
-            found[address] = f'no answer: {error}'
+            health_by_address[address] = f'no answer: {error}'
             continue
-        found[address] = _describe_health(answer)
-    return found
+        health_by_address[address] = _describe_health(answer)
+    return health_by_address
 
 
 def _describe_health(answer: dict[str, Any]) -> str:
--- a/src/sardinemast/conf/_process_files.py
+++ b/src/sardinemast/conf/_process_files.py
@@ -267,7 +267,7 @@
 def _build_controls(parsed: Any) -> tuple[ControlAddress, ...]:
     cluster = parsed['cluster']
     if cluster is None:
-        return tuple(_build_control(one) for one in parsed['controls'])
+        return tuple(_build_control(control) for control in parsed['controls'])
     hosts = sorted({_strip_port(founder) for founder in cluster['founders']})
     return tuple(get_control_address(host, cluster['port']) for host in hosts)
 
--- a/src/sardinemast/platform/_caller_http.py
+++ b/src/sardinemast/platform/_caller_http.py
@@ -91,7 +91,7 @@
 
 
 def _get_timeout_s(request: HTTPServerRequest) -> float:
-    deadline_ms = request.headers.get('X-Deadline-Ms', '')
-    if not deadline_ms.isdigit():
+    deadline_header = request.headers.get('X-Deadline-Ms', '')
+    if not deadline_header.isdigit():
         return _TIMEOUT_S
-    return min(int(deadline_ms) / _MS * _DEADLINE_SHARE, _TIMEOUT_S)
+    return min(int(deadline_header) / _MS * _DEADLINE_SHARE, _TIMEOUT_S)
--- a/src/sardinemast/platform/_gateway.py
+++ b/src/sardinemast/platform/_gateway.py
@@ -26,7 +26,7 @@
 from sardinemast.platform._http_client import (
     OrderReply,
     PlatformClient,
-    classify_reply,
+    classify_attempt,
     make_attempt,
 )
 from sardinemast.platform._services import ServiceClient
@@ -203,7 +203,7 @@
         upstream = _make_announcement(order.worker)
         start = make_attempt(upstream, order.timeout_s, valid_until_s)
         expected = ('X-Expect-Instance', order.worker.name)
-        return classify_reply(
+        return classify_attempt(
             await self._client.post(start, path, body, expected)
         )
 
--- a/src/sardinemast/platform/_http_client.py
+++ b/src/sardinemast/platform/_http_client.py
@@ -83,7 +83,7 @@
     )
 
 
-def classify_reply(attempt: RawAttempt) -> OrderReply:
+def classify_attempt(attempt: RawAttempt) -> OrderReply:
     """Return the outcome of an order from its HTTP attempt."""
     if attempt.attempt_result is AttemptResult.not_sent:
         return OrderReply(OrderOutcome.not_sent)
--- a/src/sardinemast/platform/_run.py
+++ b/src/sardinemast/platform/_run.py
@@ -32,8 +32,8 @@
 # The load balancer probes readiness once a second and stops sending requests
 # after two failures. Requests are served until then.
 _READINESS_GRACE_S = 2.6
-_DRAIN_S = 2.4
-_POLL_S = 0.05
+_DRAIN_TIMEOUT_S = 2.4
+_DRAIN_POLL_S = 0.05
 
 
 class Process:
@@ -161,9 +161,9 @@
 
 async def _drain(server: RequestServer) -> None:
     with suppress(TimeoutError):
-        async with asyncio.timeout(_DRAIN_S):
+        async with asyncio.timeout(_DRAIN_TIMEOUT_S):
             while server.open_request_count:
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_DRAIN_POLL_S)
     await server.stop()
 
 
--- a/src/sardinemast/platform/_services.py
+++ b/src/sardinemast/platform/_services.py
@@ -24,7 +24,7 @@
 from sardinemast.platform._http_client import (
     OrderReply,
     PlatformClient,
-    classify_reply,
+    classify_attempt,
     make_attempt,
 )
 from sardinemast.platform._translate import make_instance, make_tickets
@@ -156,7 +156,7 @@
             ('X-Lease-Holder', self._client.own_host),
             ('X-Fence-Token', str(order.token)),
         )
-        return classify_reply(attempt)
+        return classify_attempt(attempt)
 
 
 def _make_start(
