--- a/src/sardinemast/demo/__init__.py
+++ b/src/sardinemast/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A first run: one daemon, three upstreams, two teams."""
+"""Demo of one daemon with three upstreams and two teams."""
--- a/src/sardinemast/demo/__main__.py
+++ b/src/sardinemast/demo/__main__.py
@@ -4,4 +4,4 @@
 
 from sardinemast.demo._run import run_demo
 
-run_demo(is_kept='--keep' in sys.argv)
+run_demo(keeps_running='--keep' in sys.argv)
--- a/src/sardinemast/demo/_files.py
+++ b/src/sardinemast/demo/_files.py
@@ -10,8 +10,8 @@
 CALLER_PORT = 8080
 PEER_PORT = 8100
 OPERATOR_PORT = 8101
-CALLERS = f'127.0.0.1:{CALLER_PORT}'
-OPERATORS = f'127.0.0.1:{OPERATOR_PORT}'
+CALLER_ADDRESS = f'127.0.0.1:{CALLER_PORT}'
+OPERATOR_ADDRESS = f'127.0.0.1:{OPERATOR_PORT}'
 _BASE = MappingProxyType(
     {
         'sites': {'local': {'region': 'brittany'}},
@@ -28,7 +28,7 @@
 
 
 class DemoFiles(NamedTuple):
-    """Name the files that the demo starts from."""
+    """Hold the paths of the settings files."""
 
     process: Path
     base: Path
@@ -36,7 +36,7 @@
 
 
 def write_files(folder: Path) -> DemoFiles:
-    """Write the settings of the embedded default and its fleet."""
+    """Write the settings of one process and of its fleet."""
     process = {
         'name': 'demo-1',
         'roles': ['control', 'entry'],
--- a/src/sardinemast/demo/_run.py
+++ b/src/sardinemast/demo/_run.py
@@ -1,4 +1,4 @@
-"""Start the processes, show a few requests, and stop."""
+"""Demo run: start the processes, send a few requests and stop."""
 
 import subprocess
 import sys
@@ -12,17 +12,21 @@
 from tornado.httpclient import HTTPClient, HTTPRequest, HTTPResponse
 
 from sardinemast.cli import commands, queries
-from sardinemast.demo._files import CALLERS, OPERATORS, write_files
+from sardinemast.demo._files import (
+    CALLER_ADDRESS,
+    OPERATOR_ADDRESS,
+    write_files,
+)
 from sardinemast.exceptions import CodedError
 
-_PATIENCE_S = 15.0
-_POLL_S = 0.1
-_STOP_S = 10.0
+_RETRY_TIMEOUT_S = 15.0
+_RETRY_INTERVAL_S = 0.1
+_STOP_TIMEOUT_S = 10.0
 _UPSTREAMS = ('enrol-1', 'enrol-2', 'enrol-3')
 
 
-def run_demo(*, is_kept: bool) -> None:
-    """Run the demo, and with ``is_kept`` stay until interrupted."""
+def run_demo(*, keeps_running: bool) -> None:
+    """Run the demo, until interrupted if ``keeps_running``."""
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         files = write_files(folder)
@@ -31,25 +35,27 @@
         )
         for name in _UPSTREAMS:
             stack.enter_context(_start_upstream(name))
-        _say('One daemon and three upstreams run; settings are applied.')
-        _wait_for(
+        _print(
+            'One daemon and three upstreams are running; applying the settings.'
+        )
+        _retry(
             lambda: commands.apply(
                 str(files.base),
                 str(files.overlay),
-                controls=OPERATORS,
+                controls=OPERATOR_ADDRESS,
             ),
         )
         _show_requests()
-        if is_kept:
-            _keep_running()
+        if keeps_running:
+            _wait_for_interrupt()
         else:
             _show_timeline()
-    _say('Stopped. Next: "make run", then requests of your own with curl.')
+    _print('Stopped. Next: "make run", then requests of your own with curl.')
 
 
 @contextmanager
 def start_module(module: str, *arguments: str) -> Iterator[None]:
-    """Run a module as a process of its own, and stop it by SIGTERM."""
+    """Run a module in a child process, terminated on exit."""
     process = subprocess.Popen([sys.executable, '-m', module, *arguments])
     try:
         yield
@@ -60,7 +66,7 @@
 def _stop(process: subprocess.Popen[bytes]) -> None:
     process.terminate()
     try:
-        process.wait(_STOP_S)
+        process.wait(_STOP_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         process.kill()
         raise
@@ -72,33 +78,33 @@
         'upstream',
         f'--name={name}',
         '--pool=enrolment',
-        f'--entries={CALLERS}',
+        f'--entries={CALLER_ADDRESS}',
     )
 
 
 def _show_requests() -> None:
-    first = commands.grant_key('petits-pixels', controls=OPERATORS)
-    second = commands.grant_key('atelier-algo', controls=OPERATORS)
-    _wait_for(lambda: _expect_served(first['key']))
+    first = commands.grant_key('petits-pixels', controls=OPERATOR_ADDRESS)
+    second = commands.grant_key('atelier-algo', controls=OPERATOR_ADDRESS)
+    _retry(lambda: _check_served(first['key']))
     for seat in range(3):
-        _show('petits-pixels', _book(first['key'], seat))
-    _show('unknown key', _book('no-such-key', 3))
-    _show('atelier-algo, limit 0', _book(second['key'], 4))
-    _say(f'A key to try: {first["key"]}')
+        _print_response('petits-pixels', _book_seat(first['key'], seat))
+    _print_response('unknown key', _book_seat('no-such-key', 3))
+    _print_response('atelier-algo, limit 0', _book_seat(second['key'], 4))
+    _print(f'A key to try: {first["key"]}')
 
 
-def _expect_served(key: str) -> None:
-    response = _book(key, 0)
+def _check_served(key: str) -> None:
+    response = _book_seat(key, 0)
     if response.code != HTTPStatus.OK:
         raise OSError(response.body.decode())
 
 
-def _book(key: str, seat: int) -> HTTPResponse:
+def _book_seat(key: str, seat: int) -> HTTPResponse:
     client = HTTPClient()
     try:
         return client.fetch(
             HTTPRequest(
-                f'http://{CALLERS}/enrolment/seats/{seat}',
+                f'http://{CALLER_ADDRESS}/enrolment/seats/{seat}',
                 method='POST',
                 headers={
                     'Authorization': f'Bearer {key}',
@@ -112,40 +118,40 @@
         client.close()
 
 
-def _show(who: str, response: HTTPResponse) -> None:
-    _say(f'{who}: {response.code} {response.body.decode()}')
+def _print_response(label: str, response: HTTPResponse) -> None:
+    _print(f'{label}: {response.code} {response.body.decode()}')
 
 
 def _show_timeline() -> None:
-    _say('The merged time line:')
-    _say(queries.timeline(CALLERS))
+    _print('The merged timeline:')
+    _print(queries.timeline(CALLER_ADDRESS))
 
 
-def _keep_running() -> None:
-    _say(
+def _wait_for_interrupt() -> None:
+    _print(
         f'Try: curl -H "Authorization: Bearer KEY" '
-        f'http://{CALLERS}/enrolment/seats/1 (Ctrl-C stops)',
+        f'http://{CALLER_ADDRESS}/enrolment/seats/1 (Ctrl-C stops)',
     )
     try:
         while True:
-            time.sleep(_POLL_S)
+            time.sleep(_RETRY_INTERVAL_S)
     except KeyboardInterrupt:
-        _say('Stopping.')
+        _print('Stopping.')
 
 
-def _wait_for(action: Callable[[], object]) -> None:
-    give_up_s = time.monotonic() + _PATIENCE_S
+def _retry(action: Callable[[], object]) -> None:
+    deadline_s = time.monotonic() + _RETRY_TIMEOUT_S
     while True:
         try:
             action()
         except (OSError, CodedError):
-            if time.monotonic() > give_up_s:
+            if time.monotonic() > deadline_s:
                 raise
-            time.sleep(_POLL_S)
+            time.sleep(_RETRY_INTERVAL_S)
         else:
             return
 
 
-def _say(line: str) -> None:
-    sys.stdout.write(f'{line}\n')
+def _print(text: str) -> None:
+    sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
--- a/src/sardinemast/standins/__init__.py
+++ b/src/sardinemast/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small programs that stand for what is outside the system."""
+"""Stand-ins for external systems, used by tests and the demo."""
--- a/src/sardinemast/standins/relay.py
+++ b/src/sardinemast/standins/relay.py
@@ -1,17 +1,17 @@
-"""Relay TCP streams, and drop one direction or both on request.
+"""TCP relay that can drop the data of one direction or both.
 
-A dropped direction stays open and silent, as when a firewall or a switch
-loses packets: neither side is told.
+The connections stay open while data is dropped, as when a firewall loses
+packets.
 """
 
 import asyncio
 from contextlib import suppress
 
-_BLOCK_BYTES = 65536
+_CHUNK_BYTES = 65536
 
 
 class Relay:
-    """Pass bytes between a port of ours and a target."""
+    """Forward TCP connections from a local port to a target."""
 
     def __init__(self, target_host: str, target_port: int) -> None:
         self._target = (target_host, target_port)
@@ -20,34 +20,36 @@
         self.drops_back = False
 
     async def listen(self, port: int = 0, host: str = '127.0.0.1') -> int:
-        """Open the port and give its number."""
-        self._server = await asyncio.start_server(self._relay, host, port)
+        """Listen on a port, any free one if 0, and return its number."""
+        self._server = await asyncio.start_server(
+            self._handle_connection, host, port
+        )
         address = self._server.sockets[0].getsockname()
         return int(address[1])
 
     async def close(self) -> None:
-        """Close the port."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
 
-    async def _relay(
+    async def _handle_connection(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         try:
-            back_reader, back_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 *self._target,
             )
         except OSError:
             writer.close()
             return
         await asyncio.gather(
-            self._pump(reader, back_writer, is_forward=True),
-            self._pump(back_reader, writer, is_forward=False),
+            self._copy(reader, target_writer, is_forward=True),
+            self._copy(target_reader, writer, is_forward=False),
         )
 
-    async def _pump(
+    async def _copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -55,11 +57,11 @@
         is_forward: bool,
     ) -> None:
         with suppress(OSError):
-            while block := await reader.read(_BLOCK_BYTES):
+            while chunk := await reader.read(_CHUNK_BYTES):
                 is_dropped = (
                     self.drops_forward if is_forward else self.drops_back
                 )
                 if not is_dropped:
-                    writer.write(block)
+                    writer.write(chunk)
                     await writer.drain()
         writer.close()
--- a/src/sardinemast/standins/upstream.py
+++ b/src/sardinemast/standins/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream that announces itself and answers what it was sent."""
+"""Stand-in upstream that announces itself and echoes requests."""
 
 import asyncio
 import json
@@ -13,10 +13,13 @@
 from tornado.netutil import bind_sockets
 from tornado.web import Application, RequestHandler
 
-from sardinemast.standins._misbehaviour import MISBEHAVIOURS, RunsHandler
+from sardinemast.standins._faulty_behaviours import (
+    FAULTY_BEHAVIOURS,
+    RequestCountsHandler,
+)
 
-_ANNOUNCE_S = 0.5
-_LEAVE_S = 2.0
+_ANNOUNCE_INTERVAL_S = 0.5
+_DRAIN_GRACE_S = 2.0
 _MS_PER_S = 1000
 _HOST = '127.0.0.1'
 
@@ -27,34 +30,34 @@
     delay_s: float
     behaviour: str
     announced_port: int
-    runs: Counter[str]
+    request_counts: Counter[str]
 
 
-class _Running:
-    """Count the requests that run."""
+class _ActiveRequests:
+    """Count the requests being handled."""
 
     def __init__(self) -> None:
         self.count = 0
         self.ended = asyncio.Event()
 
     async def wait_until_empty(self) -> None:
-        """Return once nothing runs any more."""
+        """Wait until no request is being handled."""
         while self.count:
             self.ended.clear()
             await self.ended.wait()
 
 
 class _EchoHandler(RequestHandler):
-    def initialize(self, options: _Options, running: _Running) -> None:
+    def initialize(self, options: _Options, active: _ActiveRequests) -> None:
         self._options = options
-        self._running = running
+        self._active = active
 
     async def prepare(self) -> None:
-        self._running.count += 1
-        self._options.runs[str(self.request.uri)] += 1
-        misbehave = MISBEHAVIOURS.get(self._options.behaviour)
-        if misbehave is not None:
-            await misbehave(self)
+        self._active.count += 1
+        self._options.request_counts[str(self.request.uri)] += 1
+        respond = FAULTY_BEHAVIOURS.get(self._options.behaviour)
+        if respond is not None:
+            await respond(self)
             return
         if self._options.delay_s:
             await asyncio.sleep(self._options.delay_s)
@@ -69,12 +72,12 @@
         )
 
     def on_finish(self) -> None:
-        self._running.count -= 1
-        self._running.ended.set()
+        self._active.count -= 1
+        self._active.ended.set()
 
 
 class _Announcer:
-    """Tell the entries of this upstream, one at a time or all at once."""
+    """Announce this upstream to the entries."""
 
     def __init__(self, fields: dict[str, Any], entries: tuple[str, ...]):
         self._fields = {**fields, 'status': 'serving', 'sequence': 0}
@@ -83,27 +86,27 @@
 
     async def run(self) -> None:
         """Announce to each entry in turn until cancelled."""
-        turn = 0
+        index = 0
         while True:
-            await self._announce(self._entries[turn % len(self._entries)])
-            turn += 1
-            await asyncio.sleep(_ANNOUNCE_S)
+            await self._announce(self._entries[index % len(self._entries)])
+            index += 1
+            await asyncio.sleep(_ANNOUNCE_INTERVAL_S)
 
-    async def change(self, status: str) -> None:
-        """Announce another status to all entries at once."""
+    async def change_status(self, status: str) -> None:
+        """Announce a new status to all entries at once."""
         sequence = self._fields['sequence'] + 1
         self._fields.update(status=status, sequence=sequence)
         await asyncio.gather(*map(self._announce, self._entries))
 
     async def _announce(self, address: str) -> None:
-        # An entry that is down must not stop the announcing to the others.
+        # An entry that is down must not stop announcements to the others.
         with suppress(OSError, HTTPError):
             await self._client.fetch(
                 f'http://{address}/-/announce',
                 method='POST',
                 body=json.dumps(self._fields),
                 raise_error=False,
-                request_timeout=_ANNOUNCE_S,
+                request_timeout=_ANNOUNCE_INTERVAL_S,
             )
 
 
@@ -118,9 +121,10 @@
     behaviour: str = 'good',
     announced_port: int = 0,
 ) -> None:
-    """Serve until SIGTERM; ``entries`` lists HOST:PORT with commas.
+    """Serve until SIGTERM.
 
-    ``announced_port`` is that of a relay in front, where there is one.
+    ``entries`` is a comma-separated list of HOST:PORT. ``announced_port``
+    replaces the announced port, for a relay in front of the upstream.
     """
     options = _Options(
         name, pool, delay_s, behaviour, announced_port, Counter()
@@ -132,48 +136,52 @@
     options: _Options,
     entries: str,
     port: int,
-    place: tuple[str, str],
+    location: tuple[str, str],
 ) -> None:
     sockets = bind_sockets(port, _HOST)
-    running = _Running()
+    active = _ActiveRequests()
     server = HTTPServer(
         Application(
             [
-                ('/-/runs', RunsHandler, {'runs': options.runs}),
-                ('/.*', _EchoHandler, {'options': options, 'running': running}),
+                (
+                    '/-/runs',
+                    RequestCountsHandler,
+                    {'counts': options.request_counts},
+                ),
+                ('/.*', _EchoHandler, {'options': options, 'active': active}),
             ],
-            log_function=_skip_log,
+            log_function=_skip_access_log,
         ),
     )
     server.add_sockets(sockets)
-    stopping = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, stopping.set)
+    loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
     fields = {
         'instance': options.name,
         'incarnation': int(time.time() * _MS_PER_S),
         'pool': options.pool,
         'host': _HOST,
         'port': options.announced_port or sockets[0].getsockname()[1],
-        'data_centre': place[0],
-        'rack': place[1],
+        'data_centre': location[0],
+        'rack': location[1],
     }
     announcer = _Announcer(fields, tuple(str(entries).split(',')))
-    announcing = asyncio.create_task(announcer.run())
-    await stopping.wait()
-    await _leave(announcer, running)
-    announcing.cancel()
+    announce_task = asyncio.create_task(announcer.run())
+    await stop_requested.wait()
+    await _drain(announcer, active)
+    announce_task.cancel()
     server.stop()
 
 
-async def _leave(announcer: _Announcer, running: _Running) -> None:
-    # A request may be on its way from an entry that has not heard yet. An
-    # upstream that closed its port at once would cut it.
-    await announcer.change('draining')
-    await asyncio.sleep(_LEAVE_S)
-    await running.wait_until_empty()
-    await announcer.change('stopped')
+async def _drain(announcer: _Announcer, active: _ActiveRequests) -> None:
+    # Entries that have not received the announcement may still send requests,
+    # so the port stays open for a grace period.
+    await announcer.change_status('draining')
+    await asyncio.sleep(_DRAIN_GRACE_S)
+    await active.wait_until_empty()
+    await announcer.change_status('stopped')
 
 
-def _skip_log(handler: RequestHandler) -> None:
-    """Write no access log."""
+def _skip_access_log(handler: RequestHandler) -> None:
+    """Skip the access log."""
