--- a/src/sardinemast/admission/__init__.py
+++ b/src/sardinemast/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Who may run what, and what waits: keys, leases, grants, queues."""
+"""Admission and queueing of requests at an entry."""
 
 from sardinemast.admission._gate import (
     Admission,
--- a/src/sardinemast/admission/_gate.py
+++ b/src/sardinemast/admission/_gate.py
@@ -1,4 +1,4 @@
-"""Checks that a request passes before it may wait or run."""
+"""Checks of a request before it is queued."""
 
 from http import HTTPStatus
 from typing import NamedTuple
@@ -6,17 +6,16 @@
 from sardinemast.admission._refusals import Refusal, refuse_not_run
 from sardinemast.fleet import FleetState, find_team_by_key, get_pool
 
-_COME_BACK_S = 1.0
+_RETRY_AFTER_S = 1.0
 
 
 class Arrival(NamedTuple):
-    """Hold what the entry needs to know of a request.
+    """Describe an incoming request.
 
-    The key itself stays outside the core, so that no event, log or dump of
-    state can hold it; an empty digest means that no key was sent.
-    ``deadline_s`` is the time left in seconds as the caller asks, or nothing
-    for the pool's default. An urgent request goes ahead of its own team's other
-    requests, and of no other team's.
+    The key itself never enters the core, so that no event, log or dump can
+    reveal it; an empty digest means that no key was sent. ``deadline_s`` is
+    the time left as the caller asks, or None for the pool's default. An urgent
+    request precedes only other requests of its own team.
     """
 
     request_id: int
@@ -29,7 +28,7 @@
 
 
 class Admission(NamedTuple):
-    """Hold the team that a request runs for and when it is due."""
+    """Hold the team that a request runs for and its deadline."""
 
     team: str
     due_s: float
@@ -41,7 +40,7 @@
     arrival: Arrival,
     now_s: float,
 ) -> Admission | Refusal:
-    """Find the team and the deadline, or say what is wrong."""
+    """Return the team and the deadline, or a refusal."""
     if not arrival.key_digest:
         return refuse_not_run(
             'admission.E001',
@@ -60,31 +59,31 @@
         return refuse_not_run(
             'admission.E003',
             HTTPStatus.NOT_FOUND,
-            'No service of this name. Check the first part of the path.',
+            'The service does not exist. Check the first part of the path.',
         )
     if arrival.body_bytes > pool.body_limit_bytes:
         return refuse_not_run(
             'admission.E004',
             HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
-            f'The body is over {pool.body_limit_bytes} bytes. Send less.',
+            f'The body exceeds {pool.body_limit_bytes} bytes. Send less.',
         )
-    left_s = arrival.deadline_s
-    if left_s is None:
-        left_s = pool.deadline_s
-    if left_s <= 0:
+    timeout_s = arrival.deadline_s
+    if timeout_s is None:
+        timeout_s = pool.deadline_s
+    if timeout_s <= 0:
         return refuse_not_run(
             'admission.E005',
             HTTPStatus.GATEWAY_TIMEOUT,
-            'The deadline has passed. Send one that lies ahead.',
+            'The deadline has passed. Send one in the future.',
         )
-    return Admission(team, now_s + left_s)
+    return Admission(team, now_s + timeout_s)
 
 
 def refuse_without_lease() -> Refusal:
-    """Refuse because this entry may be cut off from the control processes."""
+    """Refuse a request because this entry has no lease."""
     return refuse_not_run(
         'admission.E006',
         HTTPStatus.SERVICE_UNAVAILABLE,
-        'This entry has no lease. Try again; the balancer picks another.',
-        _COME_BACK_S,
+        'This entry has no lease. Retry; the balancer picks another entry.',
+        _RETRY_AFTER_S,
     )
--- a/src/sardinemast/admission/_refusals.py
+++ b/src/sardinemast/admission/_refusals.py
@@ -1,4 +1,4 @@
-"""Final answers to callers whose request got no upstream's answer."""
+"""Answers to callers whose request got no answer from an upstream."""
 
 from enum import StrEnum
 from http import HTTPStatus
@@ -6,14 +6,14 @@
 
 
 class RunOutcome(StrEnum):
-    """Say whether a refused request can have reached an upstream."""
+    """Whether a refused request may have run at an upstream."""
 
     not_run = 'not run'
     unknown = 'unknown'
 
 
 class Refusal(NamedTuple):
-    """Answer a caller at once; ``retry_after_s`` says when to come back."""
+    """Hold an error answer and the delay after which to retry."""
 
     code: str
     status: int
@@ -28,7 +28,7 @@
     text: str,
     retry_after_s: float | None = None,
 ) -> Refusal:
-    """Refuse a request of which no byte has left for an upstream."""
+    """Return the refusal of a request that was not sent to an upstream."""
     return Refusal(
         code,
         int(status),
@@ -39,5 +39,5 @@
 
 
 def refuse_unknown(code: str, status: HTTPStatus, text: str) -> Refusal:
-    """Answer a request that an upstream may have run."""
+    """Return the refusal of a request that an upstream may have run."""
     return Refusal(code, int(status), RunOutcome.unknown, text)
--- a/src/sardinemast/admission/_scheduler.py
+++ b/src/sardinemast/admission/_scheduler.py
@@ -1,4 +1,4 @@
-"""What waits and what runs for each team at this entry."""
+"""Scheduling of teams' requests at an entry."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -9,29 +9,29 @@
 from sardinemast.admission._gate import Admission, Arrival
 from sardinemast.admission._refusals import Refusal, refuse_not_run
 from sardinemast.admission._request_queue import (
-    Line,
     QueuedRequest,
+    QueueKey,
     RequestQueue,
 )
 from sardinemast.admission._service_times import ServiceTimes
 from sardinemast.admission._usage import TeamUsage
 from sardinemast.protocol import PoolAllotment, TeamDemand, TeamUse
 
-_COME_BACK_S = 1.0
-_NOW_S = float('-inf')
-_MIN_COME_BACK_S = 0.1
-_MAX_COME_BACK_S = 30.0
+_RETRY_AFTER_S = 1.0
+_NO_DELAY_S = float('-inf')
+_MIN_RETRY_AFTER_S = 0.1
+_MAX_RETRY_AFTER_S = 30.0
 _URGENT_LEAD_S = 2.0
 
 
 class RequestScheduler:
-    """Decide which waiting request may start next."""
+    """Decide which queued request may start next."""
 
     def __init__(self) -> None:
         self._queue = RequestQueue()
         self._usage = TeamUsage()
-        self._order = FairOrder(self._usage)
-        self._times = ServiceTimes()
+        self._fair_order = FairOrder(self._usage)
+        self._service_times = ServiceTimes()
         self._delayed: dict[int, tuple[float, QueuedRequest]] = {}
 
     def enqueue(
@@ -40,7 +40,7 @@
         admitted: Admission,
         now_s: float,
     ) -> Refusal | None:
-        """Queue an admitted request, or refuse it at once."""
+        """Queue an admitted request, or return a refusal."""
         request = QueuedRequest(
             arrival.request_id,
             admitted.team,
@@ -50,16 +50,16 @@
             arrival.is_urgent,
             self._get_start_by_s(arrival.pool, admitted.due_s, now_s),
         )
-        late_s = self._estimate_lateness_s(request, now_s)
-        if late_s > 0:
-            return _describe_hopeless(late_s)
-        if self._add(request, now_s):
+        lateness_s = self._estimate_lateness_s(request, now_s)
+        if lateness_s > 0:
+            return _refuse_infeasible(lateness_s)
+        if self._enqueue(request, now_s):
             return None
         return refuse_not_run(
             'admission.E007',
             HTTPStatus.TOO_MANY_REQUESTS,
-            'Too many requests of your team wait.',
-            _COME_BACK_S,
+            'Too many requests of your team are queued.',
+            _RETRY_AFTER_S,
         )
 
     def requeue(
@@ -67,60 +67,68 @@
         request: QueuedRequest,
         now_s: float,
         held_until_s: float | None = None,
-        not_before_s: float = _NOW_S,
+        not_before_s: float = _NO_DELAY_S,
     ) -> Refusal | None:
-        """Queue a request once more; what it left running keeps a place."""
+        """Queue a request for another attempt, or return a refusal.
+
+        With ``held_until_s``, the former attempt may still run and counts
+        against the team's limit until then.
+        """
         if held_until_s is not None:
-            self._usage.leave_held(
+            self._usage.hold_former_attempt(
                 request.request_id,
                 held_until_s,
                 now_s,
             )
         self._usage.end(request.request_id, now_s)
-        # The first attempt took the time that was left for it; what is left
-        # now is for the second one.
+        # The start time of the first attempt has passed; the remaining time
+        # is for the next one.
         start_by_s = self._get_start_by_s(request.pool, request.due_s, now_s)
         request = request._replace(start_by_s=start_by_s)
         if now_s < not_before_s < request.due_s:
-            # In the queue it would stand in the way of its whole line.
+            # At the head of its queue it would block the requests behind it.
             self._delayed[request.request_id] = (not_before_s, request)
             return None
-        if now_s < request.due_s and self._add(request, now_s):
+        if now_s < request.due_s and self._enqueue(request, now_s):
             return None
-        return _describe_late()
+        return _refuse_expired()
 
     def cancel(self, request_id: int) -> None:
-        """Forget a request that waits and whose caller has left."""
+        """Remove a waiting request whose caller has disconnected."""
         self._queue.remove(request_id)
         self._delayed.pop(request_id, None)
 
     def get_ready(
         self,
-        get_usable: Callable[[str], int],
+        get_grant: Callable[[str], int],
         get_slots: Callable[[str], int],
         now_s: float,
     ) -> Iterator[QueuedRequest]:
-        """Give what may start by grants and slots, by the teams' shares.
+        """Yield the requests that may start, in fair order of the teams.
 
-        The caller starts a request, or leaves it, before asking for the next;
-        after one that is left nothing more of its pool is given.
+        The caller must start a request before taking the next one; if it does
+        not, no more requests of that pool are yielded.
         """
-        open_lines = [
-            line
-            for line in self._queue.get_lines()
-            if self._usage.count(line[1]) < get_usable(line[1])
+        eligible_keys = [
+            queue_key
+            for queue_key in self._queue.get_queue_keys()
+            if self._usage.count(queue_key[1]) < get_grant(queue_key[1])
         ]
-        pools = sorted({line[0] for line in open_lines})
+        pools = sorted({queue_key[0] for queue_key in eligible_keys})
         for pool in pools:
-            lines = [line for line in open_lines if line[0] == pool]
+            queue_keys = [
+                queue_key for queue_key in eligible_keys if queue_key[0] == pool
+            ]
             free_slots = get_slots(pool) - self._usage.count_pool(pool)
-            yield from self._get_ready_of(lines, free_slots, get_usable, now_s)
+            yield from self._get_ready_in_pool(
+                queue_keys, free_slots, get_grant, now_s
+            )
 
     def start(self, request: QueuedRequest, now_s: float) -> None:
-        """Count a request as running."""
+        """Record that a request has started."""
         self._queue.remove(request.request_id)
         self._usage.start(request, now_s)
-        self._order.note_start(request.line)
+        self._fair_order.note_start(request.queue_key)
 
     def end(
         self,
@@ -128,75 +136,84 @@
         held_until_s: float | None,
         now_s: float,
     ) -> None:
-        """Free the place of a request, or hold it while it may still run."""
+        """Record the end of an attempt; hold its slot if it may still run."""
         if held_until_s is not None:
-            known = self._times.get(request.pool, now_s)
-            slot_until_s = now_s + known.slow_s if known else held_until_s
+            service_time = self._service_times.get(request.pool, now_s)
+            slot_until_s = (
+                now_s + service_time.upper_bound_s
+                if service_time
+                else held_until_s
+            )
             self._usage.hold(request.request_id, held_until_s, slot_until_s)
             return
         service_s = self._usage.end(request.request_id, now_s)
         if service_s is not None:
-            self._times.note(request.pool, service_s, now_s)
+            self._service_times.record(request.pool, service_s, now_s)
 
     def expire(self, now_s: float) -> Iterator[tuple[int, Refusal]]:
-        """Give the requests whose deadline has passed, and forget them."""
-        self._usage.release_held(now_s)
-        for request in self._take_delayed(now_s):
-            if not self._add(request, now_s):
-                yield request.request_id, _describe_late()
-        for request in self._queue.take_due(now_s):
-            yield request.request_id, _describe_late()
+        """Remove and yield the requests that can no longer start in time."""
+        self._usage.release_expired(now_s)
+        for request in self._pop_delayed(now_s):
+            if not self._enqueue(request, now_s):
+                yield request.request_id, _refuse_expired()
+        for request in self._queue.pop_expired(now_s):
+            yield request.request_id, _refuse_expired()
 
     def replace_allotments(self, pools: tuple[PoolAllotment, ...]) -> None:
-        """Take the teams' fair parts that the leader computed."""
-        self._order.replace_allotments(pools)
+        """Replace the teams' allotments by the leader's latest ones."""
+        self._fair_order.replace_allotments(pools)
 
     def count_running(self, team: str) -> int:
-        """Count what runs, or may still run, for a team."""
+        """Count a team's requests that run or may still run."""
         return self._usage.count(team)
 
     def count_demand(self, get_slots: Callable[[str], int]) -> Counter[str]:
-        """Count by team what runs and what could run in this entry's slots.
+        """Count by team the requests that run or could run in free slots.
 
-        What waits beyond the slots is left out: grants for it would be taken
-        from entries that could use them, and each move is a commit.
+        Requests beyond the slots are left out: their grants would be useless
+        here but missing at other entries, and each move costs a commit.
         """
-        wanted = Counter(
+        demand = Counter(
             {team: self._usage.count(team) for team in self._usage.get_teams()}
         )
-        for line in self._queue.get_lines():
-            free_slots = get_slots(line[0]) - self._usage.count_line(line)
-            wanted[line[1]] += min(
-                self._queue.count_line(line),
+        for queue_key in self._queue.get_queue_keys():
+            free_slots = get_slots(queue_key[0]) - self._usage.count_running(
+                queue_key
+            )
+            demand[queue_key[1]] += min(
+                self._queue.count_queued(queue_key),
                 max(0, free_slots),
             )
-        return wanted
+        return demand
 
     def get_demands(
         self,
         get_slots: Callable[[str], int],
     ) -> tuple[TeamDemand, ...]:
-        """Tell how much each team wants to run here."""
+        """Return the demand of each team at this entry."""
         return tuple(
-            TeamDemand(team, wanted, self._usage.count(team))
-            for team, wanted in sorted(self.count_demand(get_slots).items())
+            TeamDemand(team, demand, self._usage.count(team))
+            for team, demand in sorted(self.count_demand(get_slots).items())
         )
 
     def get_usage(self, now_s: float) -> dict[str, tuple[TeamUse, ...]]:
-        """Tell by pool what each team waits for, runs and has used."""
+        """Return by pool each team's queued, running and used service time."""
         uses: dict[str, tuple[TeamUse, ...]] = {}
-        lines = {*self._queue.get_lines(), *self._usage.get_lines()}
-        for pool, team in sorted(lines):
+        queue_keys = {
+            *self._queue.get_queue_keys(),
+            *self._usage.get_queue_keys(),
+        }
+        for pool, team in sorted(queue_keys):
             use = TeamUse(
                 team,
-                self._queue.count_line((pool, team)),
-                self._usage.count_line((pool, team)),
+                self._queue.count_queued((pool, team)),
+                self._usage.count_running((pool, team)),
                 self._usage.get_used_s((pool, team), now_s),
             )
             uses[pool] = (*uses.get(pool, ()), use)
         return uses
 
-    def _take_delayed(self, now_s: float) -> list[QueuedRequest]:
+    def _pop_delayed(self, now_s: float) -> list[QueuedRequest]:
         due = [
             request
             for not_before_s, request in self._delayed.values()
@@ -206,88 +223,91 @@
             self._delayed.pop(request.request_id)
         return due
 
-    def _add(self, request: QueuedRequest, now_s: float) -> bool:
-        if not self._queue.count_line(request.line):
-            self._order.activate(request.line, now_s)
+    def _enqueue(self, request: QueuedRequest, now_s: float) -> bool:
+        if not self._queue.count_queued(request.queue_key):
+            self._fair_order.activate(request.queue_key, now_s)
         return self._queue.add(request)
 
-    def _get_ready_of(
+    def _get_ready_in_pool(
         self,
-        lines: list[Line],
+        queue_keys: list[QueueKey],
         free_slots: int,
-        get_usable: Callable[[str], int],
+        get_grant: Callable[[str], int],
         now_s: float,
     ) -> Iterator[QueuedRequest]:
-        while lines and free_slots > 0:
-            line = self._choose(lines, now_s)
-            request = self._queue.get_first(line)
+        while queue_keys and free_slots > 0:
+            queue_key = self._choose_queue(queue_keys, now_s)
+            request = self._queue.get_first(queue_key)
             if request is None or (
-                self._usage.count(request.team) >= get_usable(request.team)
+                self._usage.count(request.team) >= get_grant(request.team)
             ):
-                lines.remove(line)
+                queue_keys.remove(queue_key)
                 continue
             yield request
-            if self._queue.get_first(line) == request:
+            if self._queue.get_first(queue_key) == request:
                 return
             free_slots -= 1
 
-    def _choose(self, lines: list[Line], now_s: float) -> Line:
-        if len(lines) == 1:
-            self._order.rank(lines[0], 0, now_s)
-            return lines[0]
-        known = self._times.get(lines[0][0], now_s)
-        mean_s = known.mean_s if known else 0
-        return min(lines, key=partial(self._rank, mean_s, now_s))
-
-    def _rank(self, mean_s: float, now_s: float, line: Line) -> float:
-        rank_s = self._order.rank(line, mean_s, now_s)
-        first = self._queue.get_first(line)
-        # Urgent work may run ahead of its team's part by this much and no
-        # more; its time is charged, so the share over a minute stays.
+    def _choose_queue(
+        self, queue_keys: list[QueueKey], now_s: float
+    ) -> QueueKey:
+        if len(queue_keys) == 1:
+            self._fair_order.rank(queue_keys[0], 0, now_s)
+            return queue_keys[0]
+        service_time = self._service_times.get(queue_keys[0][0], now_s)
+        mean_s = service_time.mean_s if service_time else 0
+        return min(queue_keys, key=partial(self._rank, mean_s, now_s))
+
+    def _rank(self, mean_s: float, now_s: float, queue_key: QueueKey) -> float:
+        rank_s = self._fair_order.rank(queue_key, mean_s, now_s)
+        first = self._queue.get_first(queue_key)
+        # Urgent work may exceed its team's allotment by this lead only; its
+        # service time is still charged to the team.
         is_urgent = first is not None and first.is_urgent
         return rank_s - _URGENT_LEAD_S if is_urgent else rank_s
 
     def _estimate_lateness_s(
         self, request: QueuedRequest, now_s: float
     ) -> float:
-        known = self._times.get(request.pool, now_s)
-        if known is None:
+        service_time = self._service_times.get(request.pool, now_s)
+        if service_time is None:
             return 0
         ahead = self._queue.count_ahead(request)
-        parallel = max(
-            self._usage.count_line(request.line),
-            self._order.get_part(request.line),
+        concurrency = max(
+            self._usage.count_running(request.queue_key),
+            self._fair_order.get_allotment(request.queue_key),
         )
-        wait_s = ahead * known.mean_s / parallel
+        wait_s = ahead * service_time.mean_s / concurrency
         return now_s + wait_s - request.start_by_s
 
     def _get_start_by_s(self, pool: str, due_s: float, now_s: float) -> float:
-        # A request that starts too late times out, and its place is held for
-        # the longest permitted run since the upstream may go on. A few of
-        # these stop a team with a small limit, so nearly all runs must fit.
-        # A deadline that is short from the start gets its half, or else no
-        # request with such a deadline would ever run; so does one of which
-        # nothing has been measured.
-        known = self._times.get(pool, now_s)
+        # A request that times out holds its grant for the longest permitted
+        # run, and a few of them block a team with a small limit. So it must
+        # start early enough for nearly all runs to end before the deadline.
+        # A short deadline, or one without measurements, leaves half of its
+        # time for waiting, or such requests would never run.
+        service_time = self._service_times.get(pool, now_s)
         half_s = (due_s - now_s) / 2
-        if known is None:
+        if service_time is None:
             return due_s - half_s
-        return due_s - min(known.slow_s, max(known.median_s, half_s))
+        return due_s - min(
+            service_time.upper_bound_s, max(service_time.median_s, half_s)
+        )
 
 
-def _describe_late() -> Refusal:
+def _refuse_expired() -> Refusal:
     return refuse_not_run(
         'admission.E008',
         HTTPStatus.SERVICE_UNAVAILABLE,
-        'No slot or no part of the limit came free before the deadline.',
-        _COME_BACK_S,
+        'No slot or grant became free before the deadline.',
+        _RETRY_AFTER_S,
     )
 
 
-def _describe_hopeless(late_s: float) -> Refusal:
+def _refuse_infeasible(lateness_s: float) -> Refusal:
     return refuse_not_run(
         'admission.E010',
         HTTPStatus.SERVICE_UNAVAILABLE,
-        'By the measured service times this would end after its deadline.',
-        min(max(late_s, _MIN_COME_BACK_S), _MAX_COME_BACK_S),
+        'By recent service times, the deadline cannot be met.',
+        min(max(lateness_s, _MIN_RETRY_AFTER_S), _MAX_RETRY_AFTER_S),
     )
--- a/src/sardinemast/admission/_service_times.py
+++ b/src/sardinemast/admission/_service_times.py
@@ -1,4 +1,4 @@
-"""Service times as measured, by pool."""
+"""Measured service times by pool."""
 
 import math
 from typing import NamedTuple
@@ -8,75 +8,79 @@
 _WINDOW_S = 30.0
 _LOWEST_MS = 1
 _HIGHEST_MS = 3_600_000
-_DIGITS = 2
+_SIGNIFICANT_DIGITS = 2
 _MS_PER_S = 1000
-_MEDIAN = 50
-_SLOW = 99
+_MEDIAN_PERCENTILE = 50
+_SLOW_PERCENTILE = 99
 _MIN_SAMPLES = 3
-_STEP = 4
-_MAX_STEPS = 10
-_DESCRIBED_AT = frozenset(
-    _MIN_SAMPLES * _STEP**power for power in range(_MAX_STEPS)
+_UPDATE_GROWTH = 4
+_MAX_UPDATES = 10
+_UPDATE_AT_COUNTS = frozenset(
+    _MIN_SAMPLES * _UPDATE_GROWTH**power for power in range(_MAX_UPDATES)
 )
 
 
 class ServiceTime(NamedTuple):
-    """Hold a pool's mean, median and what nearly no run takes longer than."""
+    """Hold a pool's mean, median and an upper bound for nearly all runs."""
 
     mean_s: float
     median_s: float
-    slow_s: float
+    upper_bound_s: float
 
 
 class ServiceTimes:
-    """Keep what the last window measured.
+    """Summarize service times over the last window.
 
-    A window that ends with too few samples leaves nothing known. A time
-    learned while all upstreams were slow could otherwise refuse every
-    request for good, and no run would ever show that they have recovered.
+    A window with too few samples discards the summary. Otherwise times from a
+    slow phase could refuse every request, and no run would ever show that the
+    upstreams have recovered.
     """
 
     def __init__(self) -> None:
-        self._fresh: dict[str, HdrHistogram] = {}
-        self._known: dict[str, ServiceTime] = {}
-        self._window_until_s: float = 0
+        self._current: dict[str, HdrHistogram] = {}
+        self._summaries: dict[str, ServiceTime] = {}
+        self._window_ends_s: float = 0
 
-    def note(self, pool: str, service_s: float, now_s: float) -> None:
-        """Note how long a request ran."""
-        self._turn_window(now_s)
-        histogram = self._fresh.get(pool)
+    def record(self, pool: str, service_s: float, now_s: float) -> None:
+        """Record the service time of a request."""
+        self._rotate_window(now_s)
+        histogram = self._current.get(pool)
         if histogram is None:
-            histogram = HdrHistogram(_LOWEST_MS, _HIGHEST_MS, _DIGITS)
-            self._fresh[pool] = histogram
+            histogram = HdrHistogram(
+                _LOWEST_MS, _HIGHEST_MS, _SIGNIFICANT_DIGITS
+            )
+            self._current[pool] = histogram
         service_ms = max(_LOWEST_MS, round(service_s * _MS_PER_S))
         histogram.record_value(min(service_ms, _HIGHEST_MS))
-        if histogram.total_count in _DESCRIBED_AT:
-            self._known[pool] = _describe(histogram)
+        if histogram.total_count in _UPDATE_AT_COUNTS:
+            self._summaries[pool] = _summarize(histogram)
 
     def get(self, pool: str, now_s: float) -> ServiceTime | None:
-        """Give what is known."""
-        self._turn_window(now_s)
-        return self._known.get(pool)
+        """Return the summary of a pool, or None if there is none."""
+        self._rotate_window(now_s)
+        return self._summaries.get(pool)
 
-    def _turn_window(self, now_s: float) -> None:
-        if now_s < self._window_until_s:
+    def _rotate_window(self, now_s: float) -> None:
+        if now_s < self._window_ends_s:
             return
-        self._window_until_s = now_s + _WINDOW_S
-        self._known = {
-            pool: _describe(histogram)
-            for pool, histogram in self._fresh.items()
+        self._window_ends_s = now_s + _WINDOW_S
+        self._summaries = {
+            pool: _summarize(histogram)
+            for pool, histogram in self._current.items()
             if histogram.total_count >= _MIN_SAMPLES
         }
-        self._fresh = {}
+        self._current = {}
 
 
-def _describe(histogram: HdrHistogram) -> ServiceTime:
-    # Nearly all runs must fit, not 99 of 100, and the slowest of a few runs
-    # says little of the slowest of a thousand.
+def _summarize(histogram: HdrHistogram) -> ServiceTime:
+    # The bound must hold for more than 99 % of runs, with a larger margin for
+    # few samples.
     margin = 2 + 1 / math.sqrt(histogram.total_count)
-    slow_ms = margin * histogram.get_value_at_percentile(_SLOW)
+    upper_bound_ms = margin * histogram.get_value_at_percentile(
+        _SLOW_PERCENTILE
+    )
     return ServiceTime(
         histogram.get_mean_value() / _MS_PER_S,
-        histogram.get_value_at_percentile(_MEDIAN) / _MS_PER_S,
-        slow_ms / _MS_PER_S,
+        histogram.get_value_at_percentile(_MEDIAN_PERCENTILE) / _MS_PER_S,
+        upper_bound_ms / _MS_PER_S,
     )
--- a/tests/admission/test_scheduler.py
+++ b/tests/admission/test_scheduler.py
@@ -1,4 +1,4 @@
-"""What waits and what may start at one entry."""
+"""Queueing, refusing and starting of requests at an entry."""
 
 from sardinemast.admission import (
     Admission,
@@ -12,7 +12,7 @@
 
 
 def test_urgent_goes_first_and_then_the_earliest_deadline() -> None:
-    """Within a team, urgent work goes ahead of an earlier deadline."""
+    """Within a team, urgent requests precede earlier deadlines."""
     scheduler = RequestScheduler()
     _take(scheduler, 1, due_s=50)
     _take(scheduler, 2, due_s=40)
@@ -20,8 +20,8 @@
     assert _start_all(scheduler, slots=3) == [3, 2, 1]
 
 
-def test_slots_go_to_teams_by_their_parts() -> None:
-    """A team with three times the part gets three times the slots."""
+def test_slots_follow_the_allotments_of_teams() -> None:
+    """A team with three times the allotment gets three times the slots."""
     scheduler = RequestScheduler()
     parts = (TeamAllotment('large', 6), TeamAllotment('small', 2))
     scheduler.replace_allotments((PoolAllotment('pool', 8, parts),))
@@ -34,12 +34,11 @@
     assert sum(number % 2 for number in started) == 6
 
 
-def test_hopeless_request_is_refused_at_once() -> None:
-    """A request behind a long line is told so when it comes.
+def test_infeasible_request_is_refused_at_once() -> None:
+    """A request that cannot meet its deadline is refused with a retry time.
 
-    A peak brings far more than can run in time. Callers who wait for an
-    answer that cannot come resend, and the line never ends; told at once
-    and told when to come back, they do not.
+    Guards against a queue that never empties in a peak because callers time
+    out and resend.
     """
     scheduler = RequestScheduler()
     for number in range(3):
@@ -59,8 +58,8 @@
     assert refusals[-1].retry_after_s is not None
 
 
-def test_leaving_callers_leave_nothing() -> None:
-    """A wave of leaving callers empties the line."""
+def test_canceled_requests_leave_nothing() -> None:
+    """Disconnected callers leave no queued requests and no demand."""
     scheduler = RequestScheduler()
     for number in range(200):
         _take(scheduler, number)
@@ -70,12 +69,11 @@
     assert not list(scheduler.expire(_DEADLINE_S))
 
 
-def test_second_attempt_gets_a_time_of_its_own() -> None:
-    """Do not refuse a retry by the moment until which it had to start first.
+def test_retry_gets_a_new_latest_start_time() -> None:
+    """A retry gets a new latest start time.
 
-    The first attempt goes out on a connection that has gone silent and takes
-    half of the deadline. The second attempt has the other half; refused at
-    once, the caller would get an error though an upstream is free.
+    Guards against refusing a retry by the latest start time of the first
+    attempt although an upstream is free.
     """
     scheduler = RequestScheduler()
     _take(scheduler, 1, due_s=4)
@@ -86,10 +84,9 @@
 
 
 def test_request_that_backs_off_blocks_nobody() -> None:
-    """Let others of a team start while a retry waits out its back-off.
+    """Other requests of a team start while a retry backs off.
 
-    One request failed and is to be tried again a little later. If it stood at
-    the head of its line meanwhile, all requests of its team would wait too.
+    Guards against a retry that blocks its team's queue during the back-off.
     """
     scheduler = RequestScheduler()
     _take(scheduler, 1)
