--- a/src/sardinemast/entry/_core.py
+++ b/src/sardinemast/entry/_core.py
@@ -111,7 +111,7 @@
 
     def check_head(self, arrival: Arrival, now_s: float) -> Refusal | int:
         """Return the body size limit in bytes, or refuse by the headers."""
-        refusal = self._check(arrival, now_s)
+        refusal = self._check_arrival(arrival, now_s)
         if isinstance(refusal, Refusal):
             return refusal
         pool = get_pool(self.state, arrival.pool, self._settings.data_centre)
@@ -140,12 +140,14 @@
             self._refuse(event.arrival.request_id, refusal)
 
     def _admit(self, event: RequestArrived, now_s: float) -> Refusal | None:
-        checked = self._check(event.arrival, now_s)
+        checked = self._check_arrival(event.arrival, now_s)
         if isinstance(checked, Refusal):
             return checked
         return self._scheduler.enqueue(event.arrival, checked, now_s)
 
-    def _check(self, arrival: Arrival, now_s: float) -> Admission | Refusal:
+    def _check_arrival(
+        self, arrival: Arrival, now_s: float
+    ) -> Admission | Refusal:
         if not self._link.has_lease(now_s):
             return refuse_without_lease()
         return check_arrival(
--- a/src/sardinemast/entry/_reports.py
+++ b/src/sardinemast/entry/_reports.py
@@ -68,8 +68,11 @@
             self._unreported.clear()
             messages.append(
                 ReportUpstreams(
-                    tuple(one.announcement for one in unreported),
-                    tuple(now_s - one.received_at_s for one in unreported),
+                    tuple(received.announcement for received in unreported),
+                    tuple(
+                        now_s - received.received_at_s
+                        for received in unreported
+                    ),
                 ),
             )
         if (
--- a/src/sardinemast/grants/_demand_tracker.py
+++ b/src/sardinemast/grants/_demand_tracker.py
@@ -133,14 +133,14 @@
         declared = self._state.document.teams.get(team)
         limit = declared.limit if declared else 0
         pending_raises = sum(
-            max(0, one.amount - self._get_amount(key))
-            for key, one in self._pending.items()
+            max(0, change.amount - self._get_amount(key))
+            for key, change in self._pending.items()
             if key.team == team
         )
         return (
             limit
             - pending_raises
-            - sum(one.amount for one in self._list_grants(team))
+            - sum(grant.amount for grant in self._list_grants(team))
         )
 
     def get_demands(
--- a/src/sardinemast/grants/_releases.py
+++ b/src/sardinemast/grants/_releases.py
@@ -18,7 +18,7 @@
     entry start work while the old work still runs, exceeding the team's
     limit.
     """
-    holders = {(one.entry, one.incarnation) for one in state.grants.values()}
+    holders = {(held.entry, held.incarnation) for held in state.grants.values()}
     ended = {holder for holder in holders if get_end_s(*holder) <= now_s}
     if not ended:
         return []
@@ -60,8 +60,10 @@
             for bound_s in self._newly_replaced_s
         )
         self._newly_replaced_s.clear()
-        self._replaced = [one for one in self._replaced if one.until_s > now_s]
-        replaced = (one.bound_s for one in self._replaced)
+        self._replaced = [
+            bound for bound in self._replaced if bound.until_s > now_s
+        ]
+        replaced = (bound.bound_s for bound in self._replaced)
         return max((self._current_s, *replaced))
 
 
--- a/src/sardinemast/grants/_shares.py
+++ b/src/sardinemast/grants/_shares.py
@@ -62,12 +62,12 @@
     def record_use(self, entry: str, use: PoolUse) -> None:
         """Record the demand and the used service time that an entry reports."""
         self._uses[entry] = use
-        for one in use.teams:
-            key = (entry, one.team)
-            known_s = self._used_s.get(key, one.used_s)
+        for team_use in use.teams:
+            key = (entry, team_use.team)
+            known_s = self._used_s.get(key, team_use.used_s)
             # The counter starts at zero again when an entry restarts.
-            self._served_s[one.team] += max(0, one.used_s - known_s)
-            self._used_s[key] = one.used_s
+            self._served_s[team_use.team] += max(0, team_use.used_s - known_s)
+            self._used_s[key] = team_use.used_s
 
     def remove_entry(self, entry: str) -> None:
         """Remove an entry that has left or no longer uses the pool."""
@@ -125,8 +125,8 @@
     def _count_demand(self) -> Counter[str]:
         wanted: Counter[str] = Counter()
         for use in self._uses.values():
-            for one in use.teams:
-                wanted[one.team] += one.waiting + one.running
+            for team_use in use.teams:
+                wanted[team_use.team] += team_use.waiting + team_use.running
         return wanted
 
     def _update_debts(self, now_s: float) -> None:
@@ -150,11 +150,13 @@
         for entry, use in self._uses.items():
             allotments_by_entry[entry] = tuple(
                 TeamAllotment(
-                    one.team,
-                    _scale_to_entry(allocations[one.team], one, totals),
+                    team_use.team,
+                    _scale_to_entry(
+                        allocations[team_use.team], team_use, totals
+                    ),
                 )
-                for one in use.teams
-                if one.team in allocations
+                for team_use in use.teams
+                if team_use.team in allocations
             )
         return allotments_by_entry
 
@@ -168,7 +170,10 @@
         # no slot is allotted to another entry before it is free.
         running = {entry: self._count_running(entry) for entry in entries}
         targets = {
-            entry: sum(one.slots for one in allotments_by_entry.get(entry, ()))
+            entry: sum(
+                allotment.slots
+                for allotment in allotments_by_entry.get(entry, ())
+            )
             for entry in entries
         }
         free = max(0, capacity - sum(running.values()))
@@ -188,11 +193,13 @@
 
     def _count_running(self, entry: str) -> int:
         use = self._uses.get(entry)
-        return sum(one.running for one in use.teams) if use else 0
+        return sum(team_use.running for team_use in use.teams) if use else 0
 
 
 def _scale_to_entry(
-    allocation: float, one: TeamUse, totals: Mapping[str, int]
+    allocation: float, team_use: TeamUse, totals: Mapping[str, int]
 ) -> float:
-    local_demand = one.waiting + one.running
-    return round(allocation * local_demand / totals[one.team], _SLOT_DECIMALS)
+    local_demand = team_use.waiting + team_use.running
+    return round(
+        allocation * local_demand / totals[team_use.team], _SLOT_DECIMALS
+    )
--- a/src/sardinemast/idempotency/_core.py
+++ b/src/sardinemast/idempotency/_core.py
@@ -233,9 +233,9 @@
             return
         best = min(
             pending.known,
-            key=lambda one: (
-                _OUTCOME_PRECEDENCE.index(one.outcome),
-                one.answer is None,
+            key=lambda known: (
+                _OUTCOME_PRECEDENCE.index(known.outcome),
+                known.answer is None,
             ),
         )
         self._withdraw(pending, now_s)
@@ -252,8 +252,8 @@
         # A holder that missed the end reports the request as running or
         # its outcome as unknown, while another one may have the answer.
         if any(
-            one.outcome is ClaimOutcome.answered and one.answer is not None
-            for one in pending.known
+            known.outcome is ClaimOutcome.answered and known.answer is not None
+            for known in pending.known
         ):
             return True
         response_count = len(pending.granted_by | pending.known_by)
--- a/src/sardinemast/idempotency/_events.py
+++ b/src/sardinemast/idempotency/_events.py
@@ -61,7 +61,7 @@
 
 
 class ClaimDecided(NamedTuple):
-    """Return the one decision on a requested claim."""
+    """Report the final decision on a requested claim."""
 
     request_id: int
     verdict: ClaimVerdict
--- a/src/sardinemast/idempotency/_holder.py
+++ b/src/sardinemast/idempotency/_holder.py
@@ -45,7 +45,7 @@
         """
         self._view = view
         if self._unsynced is None and self._own in view.members:
-            self._unsynced = {one.entry for one in view.members}
+            self._unsynced = {member.entry for member in view.members}
             self._unsynced.discard(self._own.entry)
 
     def get_unsynced(self, now_s: float) -> tuple[str, ...]:
@@ -76,7 +76,9 @@
             return None
         known = self._records.get(claim.key)
         other_claims = [
-            one for one in known if one.claim.claim_id != claim.claim_id
+            record
+            for record in known
+            if record.claim.claim_id != claim.claim_id
         ]
         if other_claims:
             return self._report_known(asked, other_claims, now_s)
@@ -168,9 +170,9 @@
     ) -> ClaimKnown:
         record = min(
             other_claims,
-            key=lambda one: (
-                one.outcome is not ClaimOutcome.answered,
-                one.outcome is not ClaimOutcome.unknown,
+            key=lambda candidate: (
+                candidate.outcome is not ClaimOutcome.answered,
+                candidate.outcome is not ClaimOutcome.unknown,
             ),
         )
         outcome = record.outcome
--- a/src/sardinemast/idempotency/_messages.py
+++ b/src/sardinemast/idempotency/_messages.py
@@ -22,7 +22,7 @@
     @property
     def entries(self) -> tuple[str, ...]:
         """Return the names of the entries."""
-        return tuple(one.entry for one in self.members)
+        return tuple(member.entry for member in self.members)
 
 
 class ClaimId(NamedTuple):
@@ -113,7 +113,7 @@
 
 
 class SyncAnswered(NamedTuple):
-    """Send copies of claims, and the entries the sender still has to hear."""
+    """Send copies of claims, and the entries not yet synced with."""
 
     epoch: int
     copies: tuple[CopiedClaim, ...]
--- a/src/sardinemast/protocol/_calls.py
+++ b/src/sardinemast/protocol/_calls.py
@@ -56,7 +56,10 @@
 
 
 class BeginWave(NamedTuple):
-    """Start a maintenance wave, with at most ``cap`` instances at a time."""
+    """Start a maintenance wave, with at most ``cap`` instances at a time.
+
+    The wave is due ``deadline_s`` after its start.
+    """
 
     number: int
     instances: tuple[str, ...]
--- a/src/sardinemast/wire/_codec.py
+++ b/src/sardinemast/wire/_codec.py
@@ -177,7 +177,9 @@
     """Encode and decode the messages of one protocol, tagged by name."""
 
     def __init__(self, *classes: type) -> None:
-        self._classes = {one.__name__: one for one in classes}
+        self._classes = {
+            message_class.__name__: message_class for message_class in classes
+        }
 
     def pack(self, message: Any) -> list[Any]:
         """Return the message as a list of its name and its plain fields."""
