--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: figures and ratios, and no verdicts."""
+"""Benchmarks; they print figures and ratios and check no limits."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run all benchmarks, or those that are named."""
+"""Run all benchmarks, or those named on the command line."""
 
 import importlib
 import pkgutil
@@ -8,9 +8,9 @@
 
 
 def main(names: list[str]) -> None:
-    """Run the ``main`` of each benchmark module."""
-    found = [module.name for module in pkgutil.iter_modules(bench.__path__)]
-    for name in names or sorted(found):
+    """Call ``main`` of the named benchmark modules, or of all."""
+    available = [module.name for module in pkgutil.iter_modules(bench.__path__)]
+    for name in names or sorted(available):
         if name.startswith('_'):
             continue
         sys.stdout.write(f'== {name}\n')
--- a/bench/_cores.py
+++ b/bench/_cores.py
@@ -1,4 +1,4 @@
-"""Drive the cores of a control process and of entries in virtual time."""
+"""Simulation of a control process and entries in virtual time."""
 
 import heapq
 from collections.abc import Callable, Iterable
@@ -17,20 +17,20 @@
 )
 from sardinemast.membership import Announcement
 
-HOP_S = 0.001
-COMMIT_S = 0.003
+NETWORK_DELAY_S = 0.001
+COMMIT_DELAY_S = 0.003
 TICK_S = 0.02
 _ANNOUNCE_S = 1.0
 
 
-class _Moment(NamedTuple):
+class _ScheduledCall(NamedTuple):
     at_s: float
     number: int
     action: Callable[[], None]
 
 
-class Call(NamedTuple):
-    """Declare a request: when, where, for whom, and how long it runs."""
+class RequestSpec(NamedTuple):
+    """Describe a request: its arrival, team, pool and service time."""
 
     at_s: float
     entry: int
@@ -41,34 +41,34 @@
     is_urgent: bool = False
 
 
-class Run(NamedTuple):
-    """Hold what became of a request."""
+class RequestRun(NamedTuple):
+    """Hold the start, end and result of a request that was run."""
 
-    call: Call
+    request: RequestSpec
     started_s: float
     ended_s: float
     is_answered: bool
 
 
-class Load:
-    """Hold the queue of moments and what was seen.
+class CoreSimulation:
+    """Simulate a control process and entries, and record runs and refusals.
 
-    Each message takes a hop. The log has one replica, so ``COMMIT_S`` is
-    added to each message of the control process that follows a change of the
-    log; it stands for a sync and a round to the other replicas.
+    Each message takes ``NETWORK_DELAY_S``. The log has one replica, so
+    messages that follow an append are delayed by ``COMMIT_DELAY_S``, for the
+    disk sync and the round trip to other replicas.
     """
 
     def __init__(
         self, document: FleetDocument, entries: int, upstreams: int
     ) -> None:
-        self.runs: list[Run] = []
-        self.refusals: list[tuple[Call, float, str]] = []
+        self.runs: list[RequestRun] = []
+        self.refusals: list[tuple[RequestSpec, float, str]] = []
         self.appends = 0
         self.steps = 0
-        self._ids = count(1)
-        self._queue: list[_Moment] = []
+        self._sequence = count(1)
+        self._queue: list[_ScheduledCall] = []
         self._now_s: float = 0
-        self._calls: dict[int, Call] = {}
+        self._requests: dict[int, RequestSpec] = {}
         replica = consensus.ReplicaSettings('control-1', ('control-1',))
         self._control = control.ControlCore(
             control.ControlSettings(replica),
@@ -86,19 +86,19 @@
             entry.EntryCore(entry.EntrySettings(f'entry-{number}', 1, 'dc'))
             for number in range(entries)
         ]
-        self._set_up()
-
-    def run(self, calls: Iterable[Call], until_s: float) -> None:
-        """Let the declared requests arrive, and run until a moment."""
-        for call in calls:
-            self._at(call.at_s, self._arrive, call)
-        while self._queue and self._queue[0][0] <= until_s:
-            moment = heapq.heappop(self._queue)
-            self._now_s = moment.at_s
-            moment.action()
-
-    def _set_up(self) -> None:
-        self._at(0, self._tick_control)
+        self._start_fleet()
+
+    def run(self, requests: Iterable[RequestSpec], end_s: float) -> None:
+        """Submit the requests and run until ``end_s``."""
+        for request in requests:
+            self._schedule(request.at_s, self._submit, request)
+        while self._queue and self._queue[0][0] <= end_s:
+            scheduled = heapq.heappop(self._queue)
+            self._now_s = scheduled.at_s
+            scheduled.action()
+
+    def _start_fleet(self) -> None:
+        self._schedule(0, self._tick_control)
         commands: list[Any] = [ApplyDocument('c', 0, self._document)]
         commands += [
             GrantKey(f'c-{team}', team, team, digest_key(team))
@@ -109,55 +109,59 @@
             for one in self._upstreams
         ]
         for command in commands:
-            asked = control.CommandRequested(0, command)
-            self._at(1.5, self._step_control, asked)
+            command_event = control.CommandRequested(0, command)
+            self._schedule(1.5, self._step_control, command_event)
         for number, _ in enumerate(self.cores):
             connected = control.EntryConnected(number, f'entry-{number}', 1)
-            self._at(1.6, self._step_control, connected)
-            self._at(1.7 + number * TICK_S / 9, self._tick, number)
-        self._at(1.8, self._announce)
+            self._schedule(1.6, self._step_control, connected)
+            self._schedule(1.7 + number * TICK_S / 9, self._tick, number)
+        self._schedule(1.8, self._announce)
 
-    def _at(self, at_s: float, action: Callable[..., None], *args: Any) -> None:
-        moment = _Moment(at_s, next(self._ids), lambda: action(*args))
-        heapq.heappush(self._queue, moment)
+    def _schedule(
+        self, at_s: float, action: Callable[..., None], *args: Any
+    ) -> None:
+        scheduled = _ScheduledCall(
+            at_s, next(self._sequence), lambda: action(*args)
+        )
+        heapq.heappush(self._queue, scheduled)
 
     def _tick_control(self) -> None:
         self._step_control(control.Tick())
-        self._at(self._now_s + TICK_S, self._tick_control)
+        self._schedule(self._now_s + TICK_S, self._tick_control)
 
     def _tick(self, number: int) -> None:
         self._step(number, entry.Tick())
-        self._at(self._now_s + TICK_S, self._tick, number)
+        self._schedule(self._now_s + TICK_S, self._tick, number)
 
     def _announce(self) -> None:
         for one in self._upstreams:
             self._step(0, entry.UpstreamAnnounced(one))
-        self._at(self._now_s + _ANNOUNCE_S, self._announce)
+        self._schedule(self._now_s + _ANNOUNCE_S, self._announce)
 
-    def _arrive(self, call: Call) -> None:
-        request_id = next(self._ids)
-        self._calls[request_id] = call
+    def _submit(self, request: RequestSpec) -> None:
+        request_id = next(self._sequence)
+        self._requests[request_id] = request
         arrival = Arrival(
             request_id,
-            call.pool,
-            digest_key(call.team),
+            request.pool,
+            digest_key(request.team),
             False,
-            call.deadline_s,
+            request.deadline_s,
             1,
-            call.is_urgent,
+            request.is_urgent,
         )
-        self._step(call.entry, entry.RequestArrived(arrival))
+        self._step(request.entry, entry.RequestArrived(arrival))
 
     def _step_control(self, event: control.ControlEvent) -> None:
-        delay_s = HOP_S
+        delay_s = NETWORK_DELAY_S
         for output in self._control.step(event, self._now_s):
             if isinstance(output, consensus.AppendToLog):
                 self.appends += 1
-                delay_s = HOP_S + COMMIT_S
+                delay_s = NETWORK_DELAY_S + COMMIT_DELAY_S
             elif isinstance(output, control.SendToEntry):
                 received = entry.ControlReceived(output.message)
                 at_s = self._now_s + delay_s
-                self._at(at_s, self._step, output.stream_id, received)
+                self._schedule(at_s, self._step, output.stream_id, received)
 
     def _step(self, number: int, event: entry.EntryEvent) -> None:
         self.steps += 1
@@ -165,22 +169,22 @@
             if isinstance(output, entry.StartAttempt):
                 self._start(number, output)
             elif isinstance(output, entry.RefuseRequest):
-                call = self._calls.pop(output.request_id)
-                refusal = (call, self._now_s, output.refusal.code)
+                request = self._requests.pop(output.request_id)
+                refusal = (request, self._now_s, output.refusal.code)
                 self.refusals.append(refusal)
             elif isinstance(output, entry.SendToControl):
                 received = control.EntryMessageReceived(number, output.message)
-                at_s = self._now_s + HOP_S
-                self._at(at_s, self._step_control, received)
+                at_s = self._now_s + NETWORK_DELAY_S
+                self._schedule(at_s, self._step_control, received)
 
     def _start(self, number: int, attempt: entry.StartAttempt) -> None:
-        call = self._calls[attempt.request_id]
-        is_answered = call.service_s <= attempt.timeout_s
-        ended_s = self._now_s + min(call.service_s, attempt.timeout_s)
-        run = Run(call, self._now_s, ended_s, is_answered)
+        request = self._requests[attempt.request_id]
+        is_answered = request.service_s <= attempt.timeout_s
+        ended_s = self._now_s + min(request.service_s, attempt.timeout_s)
+        run = RequestRun(request, self._now_s, ended_s, is_answered)
         self.runs.append(run)
-        ending = entry.AttemptResult.answered
+        result = entry.AttemptResult.answered
         if not is_answered:
-            ending = entry.AttemptResult.timed_out
-        ended = entry.AttemptEnded(attempt.request_id, ending)
-        self._at(ended_s, self._step, number, ended)
+            result = entry.AttemptResult.timed_out
+        ended = entry.AttemptEnded(attempt.request_id, result)
+        self._schedule(ended_s, self._step, number, ended)
--- a/bench/_fleet.py
+++ b/bench/_fleet.py
@@ -1,4 +1,4 @@
-"""Processes that benchmarks measure."""
+"""Processes of a fleet to measure."""
 
 import socket
 import subprocess
@@ -16,8 +16,8 @@
 from sardinemast.cli import commands
 from sardinemast.exceptions import CodedError
 
-_PATIENCE_S = 15.0
-_POLL_S = 0.1
+_RETRY_TIMEOUT_S = 15.0
+_RETRY_INTERVAL_S = 0.1
 _KIB_PER_MIB = 1024
 _BASE = """
 sites: {rennes: {region: brittany}}
@@ -27,7 +27,7 @@
 
 
 def find_ports(count: int) -> list[int]:
-    """Give free ports."""
+    """Return free ports."""
     with ExitStack() as stack:
         sockets = [
             stack.enter_context(socket.create_server(('127.0.0.1', 0)))
@@ -43,7 +43,7 @@
     module: str,
     *arguments: str,
 ) -> Iterator[subprocess.Popen[bytes]]:
-    """Run a module, and print its peak memory at the end."""
+    """Run a module in a child process and print its peak memory on exit."""
     with (folder / f'{name}.log').open('wb') as log:
         process = subprocess.Popen(
             [sys.executable, '-m', module, *arguments],
@@ -53,7 +53,7 @@
     try:
         yield process
     finally:
-        _end(name, process)
+        _kill(name, process)
 
 
 def start_fleet(
@@ -63,7 +63,7 @@
 ) -> tuple[dict[str, int], str]:
     """Start a control process, entries and an upstream.
 
-    Give the ports of upstream and first entry, and a key.
+    Return the ports of the upstream and the first entry, and a key.
     """
     upstream, *entry_ports = find_ports(1 + entry_count)
     controls = _start_daemons(stack, folder, entry_ports)
@@ -81,8 +81,8 @@
             f'--port={upstream}',
         )
     )
-    key = _declare(folder, controls)
-    _wait_until_served(entry, key)
+    key = _apply_settings(folder, controls)
+    _wait_until_ready(entry, key)
     return {'upstream': upstream, 'entry': entry}, key
 
 
@@ -99,9 +99,9 @@
     }
     stack.enter_context(_run_daemon(folder, 'control', 'control', shared))
     for number, port in enumerate(entry_ports, start=1):
-        own = {**shared, 'callers': {'port': port}}
+        entry_settings = {**shared, 'callers': {'port': port}}
         name = f'entry-{number}'
-        stack.enter_context(_run_daemon(folder, name, 'entry', own))
+        stack.enter_context(_run_daemon(folder, name, 'entry', entry_settings))
     return f'127.0.0.1:{operator}'
 
 
@@ -119,10 +119,10 @@
     return run_module(folder, name, 'sardinemast.daemon', str(path))
 
 
-def _declare(folder: Path, controls: str) -> str:
+def _apply_settings(folder: Path, controls: str) -> str:
     base = folder / 'base.yaml'
     base.write_text(_BASE)
-    give_up_s = time.monotonic() + _PATIENCE_S
+    deadline_s = time.monotonic() + _RETRY_TIMEOUT_S
     while True:
         try:
             commands.apply(str(base), controls=controls)
@@ -130,15 +130,15 @@
                 'petits-pixels', 'bench', controls=controls
             )
         except (OSError, CodedError):
-            if time.monotonic() > give_up_s:
+            if time.monotonic() > deadline_s:
                 raise
-            time.sleep(_POLL_S)
+            time.sleep(_RETRY_INTERVAL_S)
         else:
             return str(granted['key'])
 
 
-def _wait_until_served(port: int, key: str) -> None:
-    give_up_s = time.monotonic() + _PATIENCE_S
+def _wait_until_ready(port: int, key: str) -> None:
+    deadline_s = time.monotonic() + _RETRY_TIMEOUT_S
     request = Request(
         f'http://127.0.0.1:{port}/enrolment/ready',
         headers={'Authorization': f'Bearer {key}'},
@@ -147,14 +147,14 @@
         try:
             urlopen(request)
         except URLError:
-            if time.monotonic() > give_up_s:
+            if time.monotonic() > deadline_s:
                 raise
-            time.sleep(_POLL_S)
+            time.sleep(_RETRY_INTERVAL_S)
         else:
             return
 
 
-def _end(name: str, process: subprocess.Popen[bytes]) -> None:
+def _kill(name: str, process: subprocess.Popen[bytes]) -> None:
     print(f'peak memory of {name}: {_get_peak_mib(process.pid):.0f} MiB')
     process.kill()
     process.wait()
--- a/bench/_forwarder.py
+++ b/bench/_forwarder.py
@@ -1,4 +1,4 @@
-"""Forward each request with no checks, as a program to compare with.
+"""Forwarder without any checks, as a baseline for the entry.
 
 ``python -m bench._forwarder PORT UPSTREAM_PORT CLIENT`` serves until killed.
 """
@@ -20,7 +20,7 @@
 
 
 class _SimpleHandler(RequestHandler):
-    """Forward on a connection per request."""
+    """Forward each request on a new connection."""
 
     def initialize(self, upstream_port: int) -> None:
         self._port = upstream_port
@@ -39,7 +39,7 @@
 
 
 class _PooledHandler(RequestHandler):
-    """Forward on the connections of the entry's client."""
+    """Forward requests through the connection pool of the entry."""
 
     client: UpstreamClient
 
--- a/bench/_load.py
+++ b/bench/_load.py
@@ -1,8 +1,8 @@
-"""Send requests over kept connections and measure each, as a program.
+"""Load generator that measures requests over persistent connections.
 
 ``python -m bench._load PORT CONNECTIONS SECONDS KEY [keyed]`` prints one line
-of JSON; ``keyed`` gives each request an idempotency key of its own. It is a
-process of its own, so that the measured one shares its core with nobody.
+of JSON; ``keyed`` gives each request its own idempotency key. Run it as a
+separate process, so that it doesn't use CPU time of the measured one.
 """
 
 import asyncio
@@ -14,24 +14,24 @@
 
 from hdrh.histogram import HdrHistogram
 
-_LONGEST_US = 60_000_000
-_DIGITS = 3
+_MAX_LATENCY_US = 60_000_000
+_SIGNIFICANT_DIGITS = 3
 _US_PER_S = 1_000_000
 _US_PER_MS = 1000
 _BODY = b'x' * 200
-_KEY_MARK = b'KEYMARK'
-_KEY_HEADER = b'Idempotency-Key: %s\r\n' % _KEY_MARK
+_KEY_PLACEHOLDER = b'KEYMARK'
+_KEY_HEADER = b'Idempotency-Key: %s\r\n' % _KEY_PLACEHOLDER
 _WARM_UP_S = 0.3
 
 
 class _Caller(asyncio.Protocol):
-    """Send one request after the other on a connection."""
+    """Send requests one after another on a connection."""
 
-    def __init__(self, request: bytes, note: 'Totals') -> None:
+    def __init__(self, request: bytes, totals: 'Totals') -> None:
         self._request = request
-        self._name = token_hex(8).encode()
+        self._key_prefix = token_hex(8).encode()
         self._number = 0
-        self._totals = note
+        self._totals = totals
         self._sent_s: float = 0
         self._buffer = b''
 
@@ -42,50 +42,50 @@
 
     def data_received(self, chunk: bytes) -> None:
         self._buffer += chunk
-        head, end, body = self._buffer.partition(b'\r\n\r\n')
+        headers, end, body = self._buffer.partition(b'\r\n\r\n')
         if not end:
             return
-        length_at = head.lower().index(b'content-length:') + 15
-        length = int(head[length_at:].split(b'\r', 1)[0])
+        length_at = headers.lower().index(b'content-length:') + 15
+        length = int(headers[length_at:].split(b'\r', 1)[0])
         if len(body) < length:
             return
         self._buffer = body[length:]
-        self._totals.note(head[9:12] == b'200', self._sent_s)
+        self._totals.record(headers[9:12] == b'200', self._sent_s)
         self._send()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self._totals.lost += 1
+        self._totals.closed += 1
 
     def _send(self) -> None:
         self._sent_s = time.perf_counter()
         self._number += 1
-        key = b'%s-%d' % (self._name, self._number)
-        self._transport.write(self._request.replace(_KEY_MARK, key))
+        key = b'%s-%d' % (self._key_prefix, self._number)
+        self._transport.write(self._request.replace(_KEY_PLACEHOLDER, key))
 
 
 class Totals:
-    """Count answers and their latencies."""
+    """Count responses and record their latencies."""
 
     def __init__(self) -> None:
         self.answered = 0
         self.refused = 0
-        self.lost = 0
-        self.is_counting = False
-        self._histogram = HdrHistogram(1, _LONGEST_US, _DIGITS)
+        self.closed = 0
+        self.is_recording = False
+        self._histogram = HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
 
-    def note(self, is_good: bool, sent_s: float) -> None:
-        """Note one answer."""
-        if not self.is_counting:
+    def record(self, is_success: bool, sent_s: float) -> None:
+        """Record a response."""
+        if not self.is_recording:
             return
-        if is_good:
+        if is_success:
             self.answered += 1
         else:
             self.refused += 1
-        taken_us = int((time.perf_counter() - sent_s) * _US_PER_S)
-        self._histogram.record_value(taken_us)
+        latency_us = int((time.perf_counter() - sent_s) * _US_PER_S)
+        self._histogram.record_value(latency_us)
 
-    def get_ms(self, percentile: float) -> float:
-        """Give a percentile of the latency."""
+    def get_percentile_ms(self, percentile: float) -> float:
+        """Return a percentile of the latency."""
         value_us: int = self._histogram.get_value_at_percentile(percentile)
         return value_us / _US_PER_MS
 
@@ -116,17 +116,17 @@
         )
     )
     await asyncio.sleep(_WARM_UP_S)
-    totals.is_counting = True
+    totals.is_recording = True
     started_s = time.perf_counter()
     await asyncio.sleep(seconds)
-    taken_s = time.perf_counter() - started_s
-    totals.is_counting = False
+    elapsed_s = time.perf_counter() - started_s
+    totals.is_recording = False
     report = {
-        'per_s': totals.answered / taken_s,
+        'per_s': totals.answered / elapsed_s,
         'refused': totals.refused,
-        'lost': totals.lost,
-        'median_ms': totals.get_ms(50),
-        'p99_ms': totals.get_ms(99),
+        'lost': totals.closed,
+        'median_ms': totals.get_percentile_ms(50),
+        'p99_ms': totals.get_percentile_ms(99),
     }
     sys.stdout.write(json.dumps(report))
 
--- a/bench/_slopes.py
+++ b/bench/_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of a cost over a size, with the spread over repeats."""
+"""Linear fits of cost over size, with their spread over repeats."""
 
 import gc
 import statistics
@@ -11,10 +11,10 @@
 
 
 class Slope(NamedTuple):
-    """Hold what one more of something costs.
+    """Hold a linear fit of cost over size.
 
-    ``base`` is the cost at size zero by the fitted line; ``spread`` is half
-    the distance between the largest and the smallest slope of the repeats.
+    ``base`` is the fitted cost at size zero, ``spread`` half the difference
+    between the largest and the smallest slope of the repeats.
     """
 
     base: float
@@ -22,12 +22,12 @@
     spread: float
 
     def predict(self, size: float) -> float:
-        """Give the cost at a size."""
+        """Return the fitted cost at a size."""
         return self.base + self.slope * size
 
 
 def fit(sizes: Sequence[float], costs: Sequence[float]) -> tuple[float, float]:
-    """Give base and slope of the straight line through the points."""
+    """Return base and slope of a linear regression."""
     line = statistics.linear_regression(sizes, costs)
     return line.intercept, line.slope
 
@@ -37,7 +37,7 @@
     measure: Callable[[int], float],
     repeats: int = _REPEATS,
 ) -> Slope:
-    """Measure at each size, several times over, and fit a line each time."""
+    """Measure all sizes repeatedly and return the median fit."""
     lines = [
         fit(sizes, [measure(size) for size in sizes]) for _ in range(repeats)
     ]
@@ -50,7 +50,7 @@
 
 
 def measure_cpu_s(action: Callable[[], Any], rounds: int) -> float:
-    """Give the processor time of one round of the action."""
+    """Return the mean CPU time of an action."""
     gc.collect()
     started_s = time.process_time()
     for _ in range(rounds):
@@ -59,12 +59,12 @@
 
 
 def measure_memory_bytes(build: Callable[[], Any]) -> float:
-    """Give the memory that what is built holds."""
+    """Return the memory allocated by the object built."""
     gc.collect()
     tracemalloc.start()
-    kept = build()
+    built = build()
     gc.collect()
-    held_bytes, _ = tracemalloc.get_traced_memory()
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
-    return held_bytes
+    del built
+    return allocated_bytes
--- a/bench/_states.py
+++ b/bench/_states.py
@@ -1,4 +1,4 @@
-"""Commands that make states of a wanted size."""
+"""Commands that build fleet states of a given size."""
 
 from collections.abc import Iterable
 
@@ -18,19 +18,19 @@
 
 
 def make_teams(size: int) -> Iterable[Command]:
-    """Declare teams."""
+    """Return a command that declares teams."""
     teams = {f'team-{number}': Team(f'team-{number}') for number in range(size)}
     yield ApplyDocument('c', 0, FleetDocument({}, {}, teams, {}))
 
 
 def make_pools(size: int) -> Iterable[Command]:
-    """Declare pools."""
+    """Return a command that declares pools."""
     pools = {f'pool-{number}': Pool(f'pool-{number}') for number in range(size)}
     yield ApplyDocument('c', 0, FleetDocument({}, pools, {}, {}))
 
 
 def make_keys(size: int) -> Iterable[Command]:
-    """Grant keys to one team."""
+    """Return commands that grant keys to one team."""
     yield make_document(1)
     for number in range(size):
         name = f'key-{number}'
@@ -38,22 +38,22 @@
 
 
 def make_instances(size: int) -> Iterable[Command]:
-    """Place instances in one pool."""
+    """Return commands that assign instances to one pool."""
     yield make_document(1)
     for number in range(size):
         yield AssignInstance('', f'instance-{number}', 'pool-0')
 
 
 def make_grants(size: int) -> Iterable[Command]:
-    """Grant one unit of each team to one entry."""
+    """Return commands that grant one unit of each team to one entry."""
     yield make_document(size)
     for number in range(size):
         change = GrantChange('entry-1', 1, f'team-{number}', 1)
         yield ChangeGrants((change,))
 
 
-def make_remembered(size: int) -> Iterable[Command]:
-    """Send commands whose ids are remembered."""
+def make_recent_commands(size: int) -> Iterable[Command]:
+    """Return commands whose ids are kept to detect repeats."""
     yield make_document(1)
     for number in range(size):
         name = f'instance-{number % 4}'
@@ -61,7 +61,7 @@
 
 
 def make_document(teams: int) -> Command:
-    """Declare one site, one pool and teams."""
+    """Return a command that declares a site, a pool and teams."""
     return ApplyDocument(
         'c',
         0,
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,6 +1,6 @@
-"""Measure what state, messages and decisions cost, and write the tables.
+"""Memory, traffic and CPU of state, messages and decisions.
 
-``make capacity`` rewrites the part of docs/CAPACITY.md between its markers.
+``make capacity`` replaces the tables between the markers in docs/CAPACITY.md.
 """
 
 import platform
@@ -26,7 +26,7 @@
     make_instances,
     make_keys,
     make_pools,
-    make_remembered,
+    make_recent_commands,
     make_teams,
 )
 from sardinemast import entry
@@ -46,9 +46,9 @@
 from sardinemast.membership import Announcement
 from sardinemast.protocol import LeaseGranted, RosterChanged, StateReplaced
 
-_PAGE = Path(__file__).parents[1] / 'docs' / 'CAPACITY.md'
-_BEGIN = '<!-- measured: begin -->'
-_END = '<!-- measured: end -->'
+_PAGE_PATH = Path(__file__).parents[1] / 'docs' / 'CAPACITY.md'
+_BEGIN_MARKER = '<!-- measured: begin -->'
+_END_MARKER = '<!-- measured: end -->'
 _SIZES = (200, 400, 800)
 _ENTRIES = (8, 16, 32)
 _UPSTREAMS = (475, 950, 1900)
@@ -58,43 +58,45 @@
 _REQUESTS = 300
 
 
-class _Count(NamedTuple):
-    """Hold how many of a thing there are at the target."""
+class _Quantity(NamedTuple):
+    """Hold the number of objects of one kind in the target fleet."""
 
     name: str
     target: int
     make: Callable[[int], Iterable[Command]]
 
 
-class _Counted(NamedTuple):
-    """Hold the row of a thing and its sums."""
+class _QuantityCost(NamedTuple):
+    """Hold a table row and the totals in the target fleet."""
 
     row: str
-    image_mib: float
+    snapshot_mib: float
     memory_mib: float
 
 
 def main() -> None:
-    """Measure all slopes, and write the tables."""
+    """Measure all costs and write the tables."""
     started_s = time.monotonic()
-    parts = [_measure_state(), _measure_streams(), _measure_requests()]
-    head = (
+    sections = [_measure_state(), _measure_streams(), _measure_requests()]
+    introduction = (
         f'Measured on {datetime.now(UTC):%Y-%m-%d} by `make capacity` in '
         f'{time.monotonic() - started_s:.0f} s, Python '
         f'{platform.python_version()}, one core each; "spread" is half the '
         'distance between the largest and the smallest of the repeats.'
     )
-    tables = '\n\n'.join((head, *parts))
-    print(tables)
-    before, _, rest = _PAGE.read_text().partition(_BEGIN)
-    after = rest.partition(_END)[2]
-    _PAGE.write_text(f'{before}{_BEGIN}\n\n{tables}\n\n{_END}{after}')
+    page_text = '\n\n'.join((introduction, *sections))
+    print(page_text)
+    before, _, rest = _PAGE_PATH.read_text().partition(_BEGIN_MARKER)
+    after = rest.partition(_END_MARKER)[2]
+    _PAGE_PATH.write_text(
+        f'{before}{_BEGIN_MARKER}\n\n{page_text}\n\n{_END_MARKER}{after}'
+    )
 
 
 def _measure_state() -> str:
-    counted = [_measure_count(count) for count in _COUNTS]
-    image_mib = sum(one.image_mib for one in counted)
-    memory_mib = sum(one.memory_mib for one in counted)
+    costs = [_measure_quantity(quantity) for quantity in _QUANTITIES]
+    snapshot_mib = sum(one.snapshot_mib for one in costs)
+    memory_mib = sum(one.memory_mib for one in costs)
     return '\n'.join(
         (
             '### Replicated state',
@@ -102,25 +104,25 @@
             '| thing | at the target | bytes in a snapshot, each | bytes in '
             'memory, each | CPU to apply, us | MiB at the target |',
             '|---|---|---|---|---|---|',
-            *(one.row for one in counted),
-            f'| sum | | {image_mib:.2f} MiB | {memory_mib:.2f} MiB | | |',
+            *(one.row for one in costs),
+            f'| sum | | {snapshot_mib:.2f} MiB | {memory_mib:.2f} MiB | | |',
         ),
     )
 
 
-def _measure_count(count: _Count) -> _Counted:
-    image = measure_slope(_SIZES, partial(_get_image_bytes, count), 1)
-    memory = measure_slope(_SIZES, partial(_get_memory_bytes, count))
+def _measure_quantity(quantity: _Quantity) -> _QuantityCost:
+    snapshot = measure_slope(_SIZES, partial(_get_snapshot_bytes, quantity), 1)
+    memory = measure_slope(_SIZES, partial(_get_memory_bytes, quantity))
     apply_us = _US_PER_S * statistics.median(
-        measure_cpu_s(partial(_make_state, count, _SIZES[1]), 1) / _SIZES[1]
+        measure_cpu_s(partial(_make_state, quantity, _SIZES[1]), 1) / _SIZES[1]
         for _ in range(3)
     )
-    memory_mib = memory.slope * count.target / _MIB_BYTES
-    return _Counted(
-        f'| {count.name} | {count.target:,} | {image.slope:.0f} | '
+    memory_mib = memory.slope * quantity.target / _MIB_BYTES
+    return _QuantityCost(
+        f'| {quantity.name} | {quantity.target:,} | {snapshot.slope:.0f} | '
         f'{memory.slope:.0f} ± {memory.spread:.0f} | {apply_us:.0f} | '
         f'{memory_mib:.2f} |',
-        image.slope * count.target / _MIB_BYTES,
+        snapshot.slope * quantity.target / _MIB_BYTES,
         memory_mib,
     )
 
@@ -137,17 +139,17 @@
             'and 1,900 upstreams |',
             '|---|---|---|---|',
             *(
-                f'| {name} | {_fit_figure(by_entry, place):.3g} | '
-                f'{_fit_figure(by_upstream, place):.3g} | '
-                f'{at_target[place]:.3g} |'
-                for place, name in enumerate(_FIGURES)
+                f'| {name} | {_fit_slope(by_entry, index):.3g} | '
+                f'{_fit_slope(by_upstream, index):.3g} | '
+                f'{at_target[index]:.3g} |'
+                for index, name in enumerate(_FIGURE_NAMES)
             ),
         ),
     )
 
 
-def _fit_figure(cases: dict[int, tuple[float, ...]], place: int) -> float:
-    _, slope = fit(tuple(cases), [one[place] for one in cases.values()])
+def _fit_slope(cases: dict[int, tuple[float, ...]], index: int) -> float:
+    _, slope = fit(tuple(cases), [one[index] for one in cases.values()])
     return slope
 
 
@@ -175,17 +177,17 @@
     )
 
 
-def _get_memory_bytes(count: _Count, size: int) -> float:
-    return measure_memory_bytes(partial(_make_state, count, size))
+def _get_memory_bytes(quantity: _Quantity, size: int) -> float:
+    return measure_memory_bytes(partial(_make_state, quantity, size))
 
 
-def _get_image_bytes(count: _Count, size: int) -> float:
-    return len(encode_snapshot(_make_state(count, size)))
+def _get_snapshot_bytes(quantity: _Quantity, size: int) -> float:
+    return len(encode_snapshot(_make_state(quantity, size)))
 
 
-def _make_state(count: _Count, size: int) -> FleetState:
+def _make_state(quantity: _Quantity, size: int) -> FleetState:
     state = FleetState()
-    for index, command in enumerate(count.make(size), start=1):
+    for index, command in enumerate(quantity.make(size), start=1):
         apply_command(state, command, index)
     return state
 
@@ -234,22 +236,22 @@
 
 def _measure_tick_us(upstreams: int) -> float:
     core = _make_entry(upstreams)
-    moments = iter(number / 50 for number in range(1, _REQUESTS + 2))
+    times_s = iter(number / 50 for number in range(1, _REQUESTS + 2))
     return _US_PER_S * measure_cpu_s(
-        lambda: core.step(entry.Tick(), next(moments)),
+        lambda: core.step(entry.Tick(), next(times_s)),
         _REQUESTS,
     )
 
 
-_COUNTS = (
-    _Count('team', 370, make_teams),
-    _Count('key', 740, make_keys),
-    _Count('pool (with overlays of 6 sites)', 315, make_pools),
-    _Count('instance', 1900, make_instances),
-    _Count('grant (each team at 5 entries)', 1850, make_grants),
-    _Count('remembered command (7 days)', 9100, make_remembered),
+_QUANTITIES = (
+    _Quantity('team', 370, make_teams),
+    _Quantity('key', 740, make_keys),
+    _Quantity('pool (with overlays of 6 sites)', 315, make_pools),
+    _Quantity('instance', 1900, make_instances),
+    _Quantity('grant (each team at 5 entries)', 1850, make_grants),
+    _Quantity('remembered command (7 days)', 9100, make_recent_commands),
 )
-_FIGURES = (
+_FIGURE_NAMES = (
     'bytes/s of an entry',
     '% of a core of an entry',
     'bytes/s of the leader',
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -1,4 +1,4 @@
-"""Bytes and CPU per entry and at the leader, cores in virtual time."""
+"""Traffic and CPU of entries and the leader without any requests."""
 
 import sys
 import time
@@ -21,8 +21,8 @@
     (20, 950),
     (20, 1900),
 )
-_WARM_S = 6.0
-_RUN_S = 4.0
+_WARMUP_S = 6.0
+_MEASURED_S = 4.0
 _TICK_S = 0.05
 _ANNOUNCE_TICKS = 10
 _CONNECT_TICK = 20
@@ -40,7 +40,7 @@
 
 
 def main() -> None:
-    """Print what a quiet fleet costs."""
+    """Print the costs for fleets of several sizes."""
     for entries, upstreams in _CASES:
         figures = measure(entries, upstreams)
         print(
@@ -51,29 +51,31 @@
 
 
 def measure(entries: int, upstreams: int) -> tuple[float, ...]:
-    """Give bytes/s and % of a core, of an entry and then of the leader."""
+    """Return bytes/s and % of a core of an entry, then of the leader."""
     cost = _run(entries, upstreams)
-    total = (cost.bytes_down + cost.bytes_up) / _RUN_S
+    total = (cost.bytes_down + cost.bytes_up) / _MEASURED_S
     return (
         total / entries,
-        cost.entries_s / entries / _RUN_S * _PERCENT,
+        cost.entries_s / entries / _MEASURED_S * _PERCENT,
         total,
-        cost.leader_s / _RUN_S * _PERCENT,
+        cost.leader_s / _MEASURED_S * _PERCENT,
     )
 
 
 def _run(entry_count: int, upstream_count: int) -> _Cost:
-    drive = _Drive(entry_count)
-    said = [_announce(number) for number in range(upstream_count)]
-    for tick in range(int((_WARM_S + _RUN_S) / _TICK_S)):
-        if tick == int(_WARM_S / _TICK_S):
-            drive.cost = _Cost()
-        drive.tick(tick, said)
-    return drive.cost
+    simulation = _Simulation(entry_count)
+    announcements = [
+        _make_announcement(number) for number in range(upstream_count)
+    ]
+    for tick in range(int((_WARMUP_S + _MEASURED_S) / _TICK_S)):
+        if tick == int(_WARMUP_S / _TICK_S):
+            simulation.cost = _Cost()
+        simulation.tick(tick, announcements)
+    return simulation.cost
 
 
-class _Drive:
-    """Hold a leader and entries, and what they cost."""
+class _Simulation:
+    """Simulate a leader and entries in virtual time, and sum their costs."""
 
     def __init__(self, entry_count: int) -> None:
         self.cost = _Cost()
@@ -86,47 +88,47 @@
             for number in range(1, entry_count + 1)
         }
 
-    def tick(self, tick: int, said: list[Announcement]) -> None:
-        """Let a tick pass, with the announcements that are due."""
+    def tick(self, tick: int, announcements: list[Announcement]) -> None:
+        """Advance by a tick and deliver the announcements due."""
         self._now_s = 2 + tick * _TICK_S
-        self._feed_leader(control.Tick())
+        self._step_leader(control.Tick())
         for number in self._cores:
             if tick == _CONNECT_TICK:
                 name = f'entry-{number}'
-                self._feed_leader(control.EntryConnected(number, name, 1))
-            for announcement in self._get_due(tick, number, said):
-                heard = entry.UpstreamAnnounced(announcement)
-                self._feed_entry(number, heard)
-            self._feed_entry(number, entry.Tick())
+                self._step_leader(control.EntryConnected(number, name, 1))
+            for announcement in self._get_due(tick, number, announcements):
+                announced = entry.UpstreamAnnounced(announcement)
+                self._step_entry(number, announced)
+            self._step_entry(number, entry.Tick())
 
     def _get_due(
         self,
         tick: int,
         number: int,
-        said: list[Announcement],
+        announcements: list[Announcement],
     ) -> list[Announcement]:
-        # Each upstream announces to one entry after the other.
-        turn = tick // _ANNOUNCE_TICKS
+        # Each upstream announces itself to the entries in turn.
+        offset = tick // _ANNOUNCE_TICKS
         return [
             one
-            for place, one in enumerate(said)
-            if (place + tick) % _ANNOUNCE_TICKS == 0
-            and (place + turn) % len(self._cores) == number - 1
+            for index, one in enumerate(announcements)
+            if (index + tick) % _ANNOUNCE_TICKS == 0
+            and (index + offset) % len(self._cores) == number - 1
         ]
 
-    def _feed_leader(self, event: control.ControlEvent) -> None:
+    def _step_leader(self, event: control.ControlEvent) -> None:
         started_s = time.process_time()
-        sent = [
+        frames_by_entry = [
             (one.stream_id, CONTROL_MESSAGES.encode(one.message))
             for one in self._leader.step(event, self._now_s)
         ]
         self.cost.leader_s += time.process_time() - started_s
-        for number, frame in sent:
+        for number, frame in frames_by_entry:
             self.cost.bytes_down += len(frame) + _ENVELOPE_BYTES
             message = CONTROL_MESSAGES.decode(frame)
-            self._feed_entry(number, entry.ControlReceived(message))
+            self._step_entry(number, entry.ControlReceived(message))
 
-    def _feed_entry(self, number: int, event: entry.EntryEvent) -> None:
+    def _step_entry(self, number: int, event: entry.EntryEvent) -> None:
         started_s = time.process_time()
         frames = [
             ENTRY_MESSAGES.encode(one.message)
@@ -137,10 +139,10 @@
         for frame in frames:
             self.cost.bytes_up += len(frame) + _ENVELOPE_BYTES
             message = ENTRY_MESSAGES.decode(frame)
-            self._feed_leader(control.EntryMessageReceived(number, message))
+            self._step_leader(control.EntryMessageReceived(number, message))
 
 
-def _announce(number: int) -> Announcement:
+def _make_announcement(number: int) -> Announcement:
     pool = f'pool-{number % _POOLS}'
     host = '10.0.0.1'
     return Announcement(f'up-{number}', 1, pool, host, number + 1, 'a', 'r')
--- a/bench/idempotency.py
+++ b/bench/idempotency.py
@@ -1,4 +1,4 @@
-"""Cost of a claim: the cores alone, and real entries with and without keys."""
+"""Cost of idempotency keys: claims between cores, requests at entries."""
 
 import json
 import subprocess
@@ -35,7 +35,7 @@
 
 
 def main() -> None:
-    """Print time, messages and bytes of a claim, then whole requests."""
+    """Print the costs of a claim, then request rates and latencies."""
     _print_cores()
     _print_processes()
 
@@ -45,34 +45,34 @@
     started_s = time.perf_counter()
     for number in range(_CLAIMS):
         cluster.run_claim(number)
-    taken_us = (time.perf_counter() - started_s) / _CLAIMS * 1e6
-    counts = cluster.counts
+    claim_us = (time.perf_counter() - started_s) / _CLAIMS * 1e6
+    traffic = cluster.traffic
     print(
-        f'{_ENTRIES} cores, {_CLAIMS} claims: {taken_us:.0f} us a claim over '
-        f'all entries, {counts["messages"] / _CLAIMS:.1f} messages and '
-        f'{counts["bytes"] / _CLAIMS:.0f} bytes between entries'
+        f'{_ENTRIES} cores, {_CLAIMS} claims: {claim_us:.0f} us a claim over '
+        f'all entries, {traffic["messages"] / _CLAIMS:.1f} messages and '
+        f'{traffic["bytes"] / _CLAIMS:.0f} bytes between entries'
     )
 
 
 class _Cluster:
     def __init__(self) -> None:
         members = [Member(f'entry-{number}', 1) for number in range(_ENTRIES)]
-        self.counts: Counter[str] = Counter()
+        self.traffic: Counter[str] = Counter()
         self._cores = {one.entry: IdempotencyCore(one, 0) for one in members}
-        self._bag: list[tuple[Member, SendToPeer]] = []
+        self._undelivered: list[tuple[Member, SendToPeer]] = []
         self._decided: list[ClaimDecided] = []
-        for joined in range(1, _ENTRIES + 1):
-            view = View(joined, tuple(members[:joined]))
-            for member in members[:joined]:
+        for view_number in range(1, _ENTRIES + 1):
+            view = View(view_number, tuple(members[:view_number]))
+            for member in members[:view_number]:
                 self._feed(member, ViewChanged(view))
-            # All that was asked of entries past is answered by the clock:
-            # after the retention time each entry votes.
+            # Entries vote only once the retention time has passed since they
+            # joined, so the clock is set ahead and pending messages dropped.
         self._members = members
         self._now_s = 1000.0
-        self._bag.clear()
+        self._undelivered.clear()
 
     def run_claim(self, number: int) -> None:
-        """Claim a key, and end it with an answer."""
+        """Claim a key and end its request with an answer."""
         member = self._members[number % _ENTRIES]
         key = number.to_bytes(32)
         self._feed(member, ClaimRequested(number, key, key, 10))
@@ -88,16 +88,16 @@
             if isinstance(output, ClaimDecided):
                 self._decided.append(output)
             else:
-                self._bag.append((member, output))
+                self._undelivered.append((member, output))
 
     def _deliver(self) -> None:
-        while self._bag:
-            sender, sent = self._bag.pop(0)
-            encoded = cbor2.dumps(PEER_MESSAGES.pack(sent.message))
-            self.counts['messages'] += 1
-            self.counts['bytes'] += len(encoded)
-            message = PEER_MESSAGES.unpack(cbor2.loads(encoded))
-            receiver = Member(sent.entry, 1)
+        while self._undelivered:
+            sender, output = self._undelivered.pop(0)
+            payload = cbor2.dumps(PEER_MESSAGES.pack(output.message))
+            self.traffic['messages'] += 1
+            self.traffic['bytes'] += len(payload)
+            message = PEER_MESSAGES.unpack(cbor2.loads(payload))
+            receiver = Member(output.entry, 1)
             self._feed(receiver, PeerReceived(sender, message))
 
 
@@ -106,8 +106,8 @@
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         ports, key = start_fleet(stack, folder, entry_count=3)
         for connections in (1, 32):
-            for name, option in (('no key', ''), ('a key each', 'keyed')):
-                one = _measure(ports['entry'], connections, key, option)
+            for name, mode in (('no key', ''), ('a key each', 'keyed')):
+                one = _measure(ports['entry'], connections, key, mode)
                 print(
                     f'{connections:3} connections, {name:<10} '
                     f'{one["per_s"]:6.0f}/s  median {one["median_ms"]:6.2f} ms'
@@ -115,9 +115,9 @@
                 )
 
 
-def _measure(port: int, connections: int, key: str, option: str) -> Any:
+def _measure(port: int, connections: int, key: str, mode: str) -> Any:
     command = [sys.executable, '-m', 'bench._load', str(port)]
-    options = [str(connections), str(_SECONDS), key, option]
+    options = [str(connections), str(_SECONDS), key, mode]
     finished = subprocess.run(
         [*command, *options], capture_output=True, check=True
     )
--- a/bench/in_force.py
+++ b/bench/in_force.py
@@ -1,4 +1,4 @@
-"""Time from an operator's command to its being in force, real processes."""
+"""Latency until an operator's command is in force, with real processes."""
 
 import signal
 import sys
@@ -21,13 +21,13 @@
 """
 _ENTRIES = 9
 _ROUNDS = 60
-_ROUNDS_FROZEN = 2
-_RECOVER_S = 2.0
+_FROZEN_ROUNDS = 2
+_RECOVERY_S = 2.0
 _MS_PER_S = 1000
 
 
 def main() -> None:
-    """Print the times with all well, and with one process frozen."""
+    """Print latencies with all processes running, then with one frozen."""
     with tempfile.TemporaryDirectory() as folder:
         base = Path(folder) / 'base.yaml'
         base.write_text(_BASE)
@@ -38,7 +38,9 @@
             for entry in fleet.entry_names:
                 wait_for(partial(_is_ready, fleet.get_entry(entry)))
             controls = fleet.controls.split(',')
-            _print('healthy', [_grant(controls) for _ in range(_ROUNDS)])
+            _print_latencies(
+                'healthy', [_measure_grant_ms(controls) for _ in range(_ROUNDS)]
+            )
             _measure_frozen(fleet, 'entry-1', controls)
             for number, name in enumerate(fleet.control_names):
                 others = controls[:number] + controls[number + 1 :]
@@ -47,15 +49,15 @@
 
 def _measure_frozen(fleet: Fleet, name: str, controls: list[str]) -> None:
     times_ms = []
-    for _ in range(_ROUNDS_FROZEN):
+    for _ in range(_FROZEN_ROUNDS):
         fleet.signal(name, signal.SIGSTOP)
-        times_ms.append(_grant(controls))
+        times_ms.append(_measure_grant_ms(controls))
         fleet.signal(name, signal.SIGCONT)
-        time.sleep(_RECOVER_S)
-    _print(f'{name} frozen', times_ms)
+        time.sleep(_RECOVERY_S)
+    _print_latencies(f'{name} frozen', times_ms)
 
 
-def _grant(controls: list[str]) -> float:
+def _measure_grant_ms(controls: list[str]) -> float:
     started_s = time.perf_counter()
     answer = wait_for(
         partial(
@@ -73,11 +75,11 @@
     return call(address, '/-/health').code == HTTPStatus.OK
 
 
-def _print(case: str, times_ms: list[float]) -> None:
+def _print_latencies(label: str, times_ms: list[float]) -> None:
     times_ms.sort()
     count = len(times_ms)
     print(
-        f'{case:18} {count:3} commands: median '
+        f'{label:18} {count:3} commands: median '
         f'{times_ms[count // 2]:7.1f} ms, '
         f'p99 {times_ms[int(count * 0.99)]:7.1f} ms, '
         f'worst {times_ms[-1]:7.1f} ms',
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -1,14 +1,13 @@
-"""Use of small limits over nine entries under steady demand.
+"""Usage of small limits over nine entries under steady demand.
 
-Compared in one run: grants that follow demand, a static split of the limit,
-and asking the leader for each request (a hop to ask, a hop to answer, a hop
-to give back, nothing written).
+Compares grants that follow demand with a static split of the limit, and with
+asking the leader for each request, which takes three messages and no write.
 """
 
 import sys
 from random import Random
 
-from bench._cores import HOP_S, Call, Load
+from bench._cores import NETWORK_DELAY_S, CoreSimulation, RequestSpec
 from sardinemast.fleet import FleetDocument, Pool, Team
 
 ENTRIES = 9
@@ -21,7 +20,7 @@
 
 
 def main() -> None:
-    """Print the use of each limit, and what it costs the log."""
+    """Print the usage of each limit, and log appends per second."""
     sys.stdout.write(
         'limit service_s load  grants static  asking  appends/s\n',
     )
@@ -32,31 +31,37 @@
 
 
 def _compare(limit: int, service_s: float, load: float) -> None:
-    calls = _declare(limit, service_s, load)
-    driven = Load(_make_document(limit), ENTRIES, upstreams=8)
-    driven.run(calls, END_S)
-    appended = driven.appends / (END_S - START_S)
-    intervals = [(run.started_s, run.ended_s) for run in driven.runs]
-    possible = min(1, load) * limit
-    use = _get_use(intervals) / possible
-    static = _use_static(calls, limit) / possible
-    asking = _use_queue(calls, limit, 3 * HOP_S) / possible
+    requests = _generate_requests(limit, service_s, load)
+    simulation = CoreSimulation(_make_document(limit), ENTRIES, upstreams=8)
+    simulation.run(requests, END_S)
+    appends_per_s = simulation.appends / (END_S - START_S)
+    intervals = [(run.started_s, run.ended_s) for run in simulation.runs]
+    attainable = min(1, load) * limit
+    grants_use = _compute_usage(intervals) / attainable
+    static_use = _compute_static_usage(requests, limit) / attainable
+    asking_use = (
+        _compute_queue_usage(requests, limit, 3 * NETWORK_DELAY_S) / attainable
+    )
     sys.stdout.write(
-        f'{limit:5} {service_s:9} {load:4} {use:7.1%} {static:6.1%} '
-        f'{asking:7.1%} {appended:9.1f}\n',
+        f'{limit:5} {service_s:9} {load:4} {grants_use:7.1%} {static_use:6.1%} '
+        f'{asking_use:7.1%} {appends_per_s:9.1f}\n',
     )
 
 
-def _declare(limit: int, service_s: float, load: float) -> list[Call]:
+def _generate_requests(
+    limit: int, service_s: float, load: float
+) -> list[RequestSpec]:
     random = Random(5)
-    calls: list[Call] = []
+    requests: list[RequestSpec] = []
     at_s = START_S
     while at_s < END_S:
         at_s += random.expovariate(load * limit / service_s)
-        run_s = random.uniform(0.5, 1.5) * service_s
+        service_time_s = random.uniform(0.5, 1.5) * service_s
         number = random.randrange(ENTRIES)
-        calls.append(Call(at_s, number, TEAM, POOL, run_s, 4))
-    return calls
+        requests.append(
+            RequestSpec(at_s, number, TEAM, POOL, service_time_s, 4)
+        )
+    return requests
 
 
 def _make_document(limit: int) -> FleetDocument:
@@ -68,35 +73,37 @@
     )
 
 
-def _get_use(intervals: list[tuple[float, float]]) -> float:
-    inside = (
+def _compute_usage(intervals: list[tuple[float, float]]) -> float:
+    durations_s = (
         max(0, min(ended_s, END_S) - max(started_s, MEASURED_FROM_S))
         for started_s, ended_s in intervals
     )
-    return sum(inside) / (END_S - MEASURED_FROM_S)
+    return sum(durations_s) / (END_S - MEASURED_FROM_S)
 
 
-def _use_static(calls: list[Call], limit: int) -> float:
-    each, rest = divmod(limit, ENTRIES)
+def _compute_static_usage(requests: list[RequestSpec], limit: int) -> float:
+    base_limit, remainder = divmod(limit, ENTRIES)
     return sum(
-        _use_queue(
-            [call for call in calls if call.entry == number],
-            each + (number < rest),
+        _compute_queue_usage(
+            [request for request in requests if request.entry == number],
+            base_limit + (number < remainder),
             0,
         )
         for number in range(ENTRIES)
     )
 
 
-def _use_queue(calls: list[Call], places: int, gap_s: float) -> float:
-    free_s: list[float] = [0 for _ in range(places)]
+def _compute_queue_usage(
+    requests: list[RequestSpec], slot_count: int, release_delay_s: float
+) -> float:
+    free_s: list[float] = [0 for _ in range(slot_count)]
     intervals: list[tuple[float, float]] = []
-    for call in calls:
+    for request in requests:
         if not free_s:
             return 0
-        place = min(range(places), key=free_s.__getitem__)
-        started_s = max(call.at_s, free_s[place])
-        if started_s <= call.at_s + call.deadline_s:
-            free_s[place] = started_s + call.service_s + gap_s
-            intervals.append((started_s, started_s + call.service_s))
-    return _get_use(intervals)
+        slot = min(range(slot_count), key=free_s.__getitem__)
+        started_s = max(request.at_s, free_s[slot])
+        if started_s <= request.at_s + request.deadline_s:
+            free_s[slot] = started_s + request.service_s + release_delay_s
+            intervals.append((started_s, started_s + request.service_s))
+    return _compute_usage(intervals)
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -1,7 +1,7 @@
-"""Moves between pools whose peaks come in turns.
+"""Moves between pools that peak in turns.
 
-Each pool asks five times its mean for a while, then a twentieth. Compared are
-no moves, moves by threshold, and moves by forecast, on one course of demand.
+Each pool needs five times its mean for some time, then a twentieth. Compares
+no moves, moves by threshold and moves by forecast for the same demand.
 """
 
 import sys
@@ -12,29 +12,29 @@
 from sardinemast import maintenance
 
 _DRAIN_S = 20
-_PROOF_S = 10
+_PROVING_S = 10
 _SECONDS = 6000
 _THRESHOLD = 0.8
 
 
-class Size(NamedTuple):
-    """Name a fleet, its pools and how long one peak lasts."""
+class FleetSize(NamedTuple):
+    """Describe a fleet by its pools and the duration of a peak."""
 
     name: str
     pools: int
-    per_pool: int
-    peak_s: int
+    instances_per_pool: int
+    peak_duration_s: int
 
 
 class Measured(NamedTuple):
-    """Hold what the moves brought and cost."""
+    """Hold unmet demand, idle time and the number of moves."""
 
     unmet_s: float
     idle_s: float
     moves: int
 
 
-_Choose = Callable[
+_ChooseMoves = Callable[
     [maintenance.MaintenanceState, dict[str, float], int],
     tuple[maintenance.commands.StepStart, ...],
 ]
@@ -43,64 +43,71 @@
 def main() -> None:
     """Print unmet and idle instance-seconds and moves."""
     for size in (
-        Size('Kerlann', 5, 8, 600),
-        Size('Atlas', 5, 8, 300),
-        Size('target', 45, 42, 600),
+        FleetSize('Kerlann', 5, 8, 600),
+        FleetSize('Atlas', 5, 8, 300),
+        FleetSize('target', 45, 42, 600),
     ):
         seconds = _SECONDS if size.pools < 40 else _SECONDS // 6
-        _tell(f'{size.name}: {size.pools} pools, peaks of {size.peak_s} s')
+        _write_line(
+            f'{size.name}: {size.pools} pools, '
+            f'peaks of {size.peak_duration_s} s'
+        )
         for name, choose in (
             ('no moves', _choose_none),
             ('threshold', _choose_by_threshold),
-            ('forecast', _make_forecast()),
+            ('forecast', _make_forecast_policy()),
         ):
             measured = _run(size, choose, seconds)
-            _tell(
+            _write_line(
                 f'  {name:<10} unmet {measured.unmet_s:>8.0f} instance-s, '
                 f'idle {measured.idle_s:>9.0f} instance-s, '
                 f'moves {measured.moves}',
             )
 
 
-def _run(size: Size, choose: _Choose, seconds: int) -> Measured:
-    run = _Run(size)
-    demand = _Demand(size)
+def _run(size: FleetSize, choose: _ChooseMoves, seconds: int) -> Measured:
+    run = _FleetSimulation(size)
+    demand = _DemandCurve(size)
     for now_s in range(seconds):
-        run.live(demand.get(now_s), choose, now_s)
+        run.advance(demand.get(now_s), choose, now_s)
     return run.measured
 
 
-class _Run:
-    """Hold a fleet whose moves take their time."""
+class _FleetSimulation:
+    """Simulate a fleet in which moves take time."""
 
-    def __init__(self, size: Size) -> None:
+    def __init__(self, size: FleetSize) -> None:
         self.measured = Measured(0, 0, 0)
         self._state = _make_state(size)
-        self._due: dict[str, int] = {}
+        self._due_s: dict[str, int] = {}
         self._index = 10_000
 
-    def live(
+    def advance(
         self,
-        wanted: dict[str, float],
-        choose: _Choose,
+        demand: dict[str, float],
+        choose: _ChooseMoves,
         now_s: int,
     ) -> None:
-        """Let a second pass."""
-        starts = choose(self._state, wanted, now_s)
+        """Advance by a second."""
+        starts = choose(self._state, demand, now_s)
         self._commit(maintenance.commands.StartSteps(starts, now_s))
-        for command in _iterate_due(self._state, self._due, now_s):
+        for command in _iterate_due(self._state, self._due_s, now_s):
             self._commit(command)
         serving = _count_serving(self._state)
-        lacks = [need - serving.get(pool, 0) for pool, need in wanted.items()]
+        shortfalls = [
+            needed - serving.get(pool, 0) for pool, needed in demand.items()
+        ]
         moving = maintenance.Condition.moving
-        begun = {start.instance for start in starts}
+        started = {start.instance for start in starts}
         self.measured = Measured(
-            self.measured.unmet_s + sum(max(0, lack) for lack in lacks),
-            self.measured.idle_s - sum(min(0, lack) for lack in lacks),
+            self.measured.unmet_s
+            + sum(max(0, shortfall) for shortfall in shortfalls),
+            self.measured.idle_s
+            - sum(min(0, shortfall) for shortfall in shortfalls),
             self.measured.moves
             + sum(
                 self._state.instances[name].condition is moving
-                for name in begun
+                for name in started
             ),
         )
 
@@ -109,36 +116,36 @@
         maintenance.apply_command(self._state, command, self._index)
 
 
-class _Demand:
-    """Hold the course of demand, the same for each way."""
+class _DemandCurve:
+    """Generate the demand, the same for each policy."""
 
-    def __init__(self, size: Size) -> None:
+    def __init__(self, size: FleetSize) -> None:
         self._size = size
         self._random = Random(3)
 
     def get(self, now_s: int) -> dict[str, float]:
-        """Give what each pool needs, in instances."""
-        mean = self._size.per_pool * 0.4
-        turn = now_s / self._size.peak_s
-        wanted = {}
+        """Return the number of instances that each pool needs."""
+        mean = self._size.instances_per_pool * 0.4
+        position = now_s / self._size.peak_duration_s
+        demand = {}
         for number in range(self._size.pools):
-            # Of five pools in a row one has its peak.
-            into = (turn - number) % 5
-            factor = 5.0 if into < 1 else 0.05
-            if into * 10 < 1:
-                factor = 0.05 + into * 49.5
+            # One of five consecutive pools is at its peak.
+            phase = (position - number) % 5
+            factor = 5.0 if phase < 1 else 0.05
+            if phase * 10 < 1:
+                factor = 0.05 + phase * 49.5
             noise = self._random.uniform(0.9, 1.1)
-            wanted[f'pool-{number}'] = mean * factor * noise
-        return wanted
+            demand[f'pool-{number}'] = mean * factor * noise
+        return demand
 
 
-def _make_state(size: Size) -> maintenance.MaintenanceState:
+def _make_state(size: FleetSize) -> maintenance.MaintenanceState:
     state = maintenance.MaintenanceState(
         maintenance.Budgets(
             tuple(
                 maintenance.PoolBudget(
                     f'pool-{number}',
-                    down_max=size.per_pool // 2,
+                    down_max=size.instances_per_pool // 2,
                     serving_min=1,
                 )
                 for number in range(size.pools)
@@ -147,7 +154,7 @@
             'pool-0',
         ),
     )
-    for number in range(size.pools * size.per_pool):
+    for number in range(size.pools * size.instances_per_pool):
         state.put(
             maintenance.Instance(
                 f'instance-{number}',
@@ -165,20 +172,20 @@
 
 def _iterate_due(
     state: maintenance.MaintenanceState,
-    due: dict[str, int],
+    due_s: dict[str, int],
     now_s: int,
 ) -> Iterator[maintenance.Command]:
     for instance in tuple(state.instances.values()):
         if instance.condition is maintenance.Condition.moving:
-            if now_s >= due.setdefault(instance.name, now_s + _DRAIN_S):
-                due[instance.name] = now_s + _PROOF_S
+            if now_s >= due_s.setdefault(instance.name, now_s + _DRAIN_S):
+                due_s[instance.name] = now_s + _PROVING_S
                 yield maintenance.commands.JoinPool(
                     instance.name,
                     instance.changed_index,
                 )
         elif instance.condition is maintenance.Condition.proving:
-            if now_s >= due[instance.name]:
-                due.pop(instance.name)
+            if now_s >= due_s[instance.name]:
+                due_s.pop(instance.name)
                 change = maintenance.commands.ConditionChange(
                     instance.name,
                     instance.changed_index,
@@ -197,7 +204,7 @@
 
 def _choose_none(
     state: maintenance.MaintenanceState,
-    wanted: dict[str, float],
+    demand: dict[str, float],
     now_s: int,
 ) -> tuple[maintenance.commands.StepStart, ...]:
     return ()
@@ -205,18 +212,18 @@
 
 def _choose_by_threshold(
     state: maintenance.MaintenanceState,
-    wanted: dict[str, float],
+    demand: dict[str, float],
     now_s: int,
 ) -> tuple[maintenance.commands.StepStart, ...]:
-    """Move one from the least used pool to the most used, past 0.8."""
+    """Move one instance from the least to the most used pool."""
     serving = _count_serving(state)
-    used = {pool: wanted[pool] / serving.get(pool, 0.1) for pool in wanted}
-    target = max(used, key=used.__getitem__)
-    giver = min(used, key=used.__getitem__)
-    if used[target] <= _THRESHOLD:
+    usage = {pool: demand[pool] / serving.get(pool, 0.1) for pool in demand}
+    target = max(usage, key=usage.__getitem__)
+    source = min(usage, key=usage.__getitem__)
+    if usage[target] <= _THRESHOLD:
         return ()
     for instance in state.instances.values():
-        if instance.pool != giver:
+        if instance.pool != source:
             continue
         if instance.condition is maintenance.Condition.serving:
             return (
@@ -230,18 +237,18 @@
     return ()
 
 
-def _make_forecast() -> _Choose:
+def _make_forecast_policy() -> _ChooseMoves:
     planner = maintenance.MovePlanner()
 
     def choose(
         state: maintenance.MaintenanceState,
-        wanted: dict[str, float],
+        demand: dict[str, float],
         now_s: int,
     ) -> tuple[maintenance.commands.StepStart, ...]:
         planner.take(
             tuple(
-                maintenance.PoolDemand(pool, need)
-                for pool, need in wanted.items()
+                maintenance.PoolDemand(pool, needed)
+                for pool, needed in demand.items()
             ),
             now_s,
         )
@@ -250,5 +257,5 @@
     return choose
 
 
-def _tell(line: str) -> None:
+def _write_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,4 +1,4 @@
-"""Measure a request's way: upstream alone, two forwarders, the entry."""
+"""Rate and latency at the entry, two forwarders and the upstream alone."""
 
 import json
 import subprocess
@@ -14,18 +14,20 @@
 _ROUNDS = 4
 _SECONDS = 1.0
 _CONNECTIONS = (1, 32)
-_BASE = 'forwarder, AsyncHTTPClient'
+_BASELINE = 'forwarder, AsyncHTTPClient'
 
 
 def main() -> None:
-    """Print requests per second, latencies, ratios and peak memory."""
+    """Print request rates, latencies, ratios and peak memory."""
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         ports, key = start_fleet(stack, folder)
         routes = {
             'upstream alone': ports['upstream'],
-            _BASE: _forward(stack, folder, 'simple', ports['upstream']),
-            'forwarder, own pool': _forward(
+            _BASELINE: _start_forwarder(
+                stack, folder, 'simple', ports['upstream']
+            ),
+            'forwarder, own pool': _start_forwarder(
                 stack, folder, 'pooled', ports['upstream']
             ),
             'entry': ports['entry'],
@@ -34,7 +36,7 @@
             _print_table(routes, connections, key)
 
 
-def _forward(
+def _start_forwarder(
     stack: ExitStack,
     folder: Path,
     client: str,
@@ -56,7 +58,7 @@
 
 def _print_table(routes: dict[str, int], connections: int, key: str) -> None:
     print(f'{connections} connections, 200 bytes, {_ROUNDS} x {_SECONDS} s')
-    # In turns, so that what else the machine does meets all routes alike.
+    # Routes alternate, so that other load on the host affects all alike.
     rounds = [
         {
             name: _measure(port, connections, key)
@@ -66,21 +68,21 @@
     ]
     measured = {
         name: {
-            figure: median(one[name][figure] for one in rounds)
+            figure: median(figures[name][figure] for figures in rounds)
             for figure in rounds[0][name]
         }
         for name in routes
     }
-    base = measured[_BASE]
-    for name, one in measured.items():
+    baseline = measured[_BASELINE]
+    for name, figures in measured.items():
         print(
-            f'  {name:<28} {one["per_s"]:7.0f}/s '
-            f'(x{one["per_s"] / base["per_s"]:.2f})  '
-            f'median {one["median_ms"]:6.2f} ms '
-            f'(x{one["median_ms"] / base["median_ms"]:.2f})  '
-            f'p99 {one["p99_ms"]:6.2f} ms '
-            f'(x{one["p99_ms"] / base["p99_ms"]:.2f})  '
-            f'refused {one["refused"]} lost {one["lost"]}'
+            f'  {name:<28} {figures["per_s"]:7.0f}/s '
+            f'(x{figures["per_s"] / baseline["per_s"]:.2f})  '
+            f'median {figures["median_ms"]:6.2f} ms '
+            f'(x{figures["median_ms"] / baseline["median_ms"]:.2f})  '
+            f'p99 {figures["p99_ms"]:6.2f} ms '
+            f'(x{figures["p99_ms"] / baseline["p99_ms"]:.2f})  '
+            f'refused {figures["refused"]} lost {figures["lost"]}'
         )
 
 
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,7 +1,6 @@
-"""What each policy of the leader is worth: modelled days with it and without.
+"""Value of each policy of the leader: simulated days with and without it.
 
-Each variant plays the same days as the policies as they are, so that the
-differences are taken in pairs. Troubles are those of `sardinemast.model`.
+All variants simulate the same days, so that differences can be paired by seed.
 """
 
 import os
@@ -26,10 +25,10 @@
 )
 
 _SEEDS = 24
-# Of a normal distribution, 95 in 100 lie within so many deviations.
+# Half-width of a 95 % confidence interval, in standard errors.
 _CONFIDENCE = 1.96
 _WEIGHTS = ScoreWeights()
-_MIX = frozenset(
+_MIXED_DISRUPTIONS = frozenset(
     (
         Disruption.wave,
         Disruption.rack_power_lost,
@@ -43,111 +42,118 @@
         'workers slow': REGISTRY_DAY._replace(
             disruptions=frozenset((Disruption.workers_slow,)),
         ),
-        'mix': REGISTRY_DAY._replace(disruptions=_MIX),
+        'mix': REGISTRY_DAY._replace(disruptions=_MIXED_DISRUPTIONS),
     },
 )
 
 
 class Variant(NamedTuple):
-    """Name a way to decide: settings, and what is switched off."""
+    """Describe policies by settings and a function to replace."""
 
     name: str
     settings: DispatchSettings = DispatchSettings()
     owner: Any = None
     function: str = ''
-    stand_in: Callable[..., Any] | None = None
+    replacement: Callable[..., Any] | None = None
 
 
-def _size(name: str, pools: PoolPolicy) -> Variant:
+def _vary_pools(name: str, pools: PoolPolicy) -> Variant:
     return Variant(name, DispatchSettings(pools=pools))
 
 
-def _ignore(*taken: object) -> None:
+def _do_nothing(*arguments: object) -> None:
     """Do nothing."""
 
 
-def _never(*taken: object) -> float:
+def _return_infinity(*arguments: object) -> float:
     return float('inf')
 
 
 VARIANTS = (
     Variant('as it is'),
-    _size('all workers before the first peak', PoolPolicy(opening_share=1)),
-    _size('a quarter before the first peak', PoolPolicy(opening_share=0.25)),
-    _size('room for 1.3 times in a peak', PoolPolicy(rise_factor=1.3)),
-    _size('room for what is asked in a peak', PoolPolicy(rise_factor=1)),
-    _size('any number of workers in a peak', PoolPolicy(most_factor=9)),
-    _size('no spare worker between peaks', PoolPolicy(calm_spare=0)),
-    _size('calm room for what runs', PoolPolicy(calm_factor=1)),
-    _size('help at any lack of room', PoolPolicy(short_share=0)),
-    _size('idle for 3 s before a move', PoolPolicy(idle_s=3)),
+    _vary_pools(
+        'all workers before the first peak', PoolPolicy(opening_share=1)
+    ),
+    _vary_pools(
+        'a quarter before the first peak', PoolPolicy(opening_share=0.25)
+    ),
+    _vary_pools('room for 1.3 times in a peak', PoolPolicy(rise_factor=1.3)),
+    _vary_pools('room for what is asked in a peak', PoolPolicy(rise_factor=1)),
+    _vary_pools('any number of workers in a peak', PoolPolicy(most_factor=9)),
+    _vary_pools('no spare worker between peaks', PoolPolicy(calm_spare=0)),
+    _vary_pools('calm room for what runs', PoolPolicy(calm_factor=1)),
+    _vary_pools('help at any lack of room', PoolPolicy(short_share=0)),
+    _vary_pools('idle for 3 s before a move', PoolPolicy(idle_s=3)),
     Variant(
         'neither opening share nor forecast',
         owner=PeakTracker,
         function='get_next_start_s',
-        stand_in=_never,
+        replacement=_return_infinity,
     ),
     Variant(
         'no stragglers found',
         owner=StragglerDetector,
         function='stop_stragglers',
-        stand_in=_ignore,
+        replacement=_do_nothing,
     ),
 )
 
 
 def main() -> None:
-    """Print what each variant changes on each kind of day."""
+    """Print the effect of each variant on each kind of day."""
     with ProcessPoolExecutor(max((os.cpu_count() or 2) // 2, 1)) as pool:
         for day in _DAYS:
             sys.stdout.write(f'{day}, {_SEEDS} seeds\n')
             runs = {
                 variant.name: [
-                    pool.submit(play, variant, day, seed)
+                    pool.submit(simulate, variant, day, seed)
                     for seed in range(_SEEDS)
                 ]
                 for variant in VARIANTS
             }
-            figures = {
+            results = {
                 name: [future.result() for future in futures]
                 for name, futures in runs.items()
             }
-            sys.stdout.writelines(_iterate_lines(figures))
+            sys.stdout.writelines(_iterate_lines(results))
 
 
-def play(variant: Variant, day: str, seed: int) -> DayResults:
-    """Play one day; what is switched off is so in this process alone."""
+def simulate(variant: Variant, day: str, seed: int) -> DayResults:
+    """Simulate a day, with the variant's function replaced meanwhile."""
     with ExitStack() as stack:
         if variant.owner is not None:
             stack.enter_context(
                 patch.object(
                     variant.owner,
                     variant.function,
-                    variant.stand_in,
+                    variant.replacement,
                 ),
             )
         return FleetSimulation(_DAYS[day], variant.settings, seed).run()
 
 
-def _iterate_lines(figures: dict[str, list[DayResults]]) -> Iterator[str]:
-    base = [one.compute_score(_WEIGHTS) for one in figures[VARIANTS[0].name]]
-    for name, days in figures.items():
-        worths = [one.compute_score(_WEIGHTS) for one in days]
+def _iterate_lines(results: dict[str, list[DayResults]]) -> Iterator[str]:
+    base_scores = [
+        one.compute_score(_WEIGHTS) for one in results[VARIANTS[0].name]
+    ]
+    for name, days in results.items():
+        scores = [one.compute_score(_WEIGHTS) for one in days]
         differences = [
-            worth - other for worth, other in zip(worths, base, strict=True)
+            score - base_score
+            for score, base_score in zip(scores, base_scores, strict=True)
         ]
-        doubt = _CONFIDENCE * stdev(differences) / len(differences) ** 0.5
+        margin = _CONFIDENCE * stdev(differences) / len(differences) ** 0.5
         yield (
-            f'  {name:34} worth {fmean(worths):.3f}'
-            f' ({fmean(differences):+.3f} +-{doubt:.3f})'
-            f' on time {_mean(days, "on_time"):.3f}'
-            f' queue {_mean(days, "worst_queue"):.3f}'
-            f' team {_mean(days, "worst_team"):.3f}'
-            f' span {_mean(days, "worst_interval"):.3f}'
-            f' worker-s {_mean(days, "worker_seconds"):.0f}'
-            f' moves {_mean(days, "moves"):.0f}\n'
+            f'  {name:34} worth {fmean(scores):.3f}'
+            f' ({fmean(differences):+.3f} +-{margin:.3f})'
+            f' on time {_get_mean(days, "on_time"):.3f}'
+            f' queue {_get_mean(days, "worst_queue"):.3f}'
+            f' team {_get_mean(days, "worst_team"):.3f}'
+            f' span {_get_mean(days, "worst_interval"):.3f}'
+            f' worker-s {_get_mean(days, "worker_seconds"):.0f}'
+            f' moves {_get_mean(days, "moves"):.0f}\n'
         )
 
 
-def _mean(days: list[DayResults], field: str) -> float:
+def _get_mean(days: list[DayResults], field: str) -> float:
     return fmean(getattr(one, field) for one in days)
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of a control process: time, file sizes, commits, elections."""
+"""Recovery time, log size, commit rate and election time of replicas."""
 
 import os
 import statistics
@@ -22,17 +22,17 @@
 _NAME = 'control-1'
 _SETTINGS = consensus.ReplicaSettings(_NAME, (_NAME,))
 _COUNTS = (1_000, 100_000)
-_TAIL = 1_000
+_RETAINED_ENTRIES = 1_000
 _INSTANCES = 1_900
 _PROPOSALS = 2_000
 _BATCH = 32
-_KILLS = 10
+_KILL_COUNT = 10
 _KIB_BYTES = 1024
 _TICKS_S = (0, 10, 20)
 
 
 def main() -> None:
-    """Print all figures."""
+    """Print recovery, commit and election figures."""
     with tempfile.TemporaryDirectory() as folder:
         _print_recovery(Path(folder))
         _print_commits(Path(folder))
@@ -44,17 +44,19 @@
     for count in _COUNTS:
         plain = folder / f'plain-{count}'
         _write_log(plain, count)
-        seconds = _recover(plain)
-        _print_size(f'{count} commands, no snapshot', plain, seconds)
-        _shorten(plain, count)
-        shorter = _recover(plain)
-        _print_size(f'{count} commands, snapshot', plain, shorter)
-        _print(f'  ratio of times {seconds / shorter:.1f}')
+        duration_s = _recover(plain)
+        _print_recovery_time(
+            f'{count} commands, no snapshot', plain, duration_s
+        )
+        _compact_log(plain, count)
+        compacted_s = _recover(plain)
+        _print_recovery_time(f'{count} commands, snapshot', plain, compacted_s)
+        _write_line(f'  ratio of times {duration_s / compacted_s:.1f}')
 
 
-def _print_size(label: str, folder: Path, seconds: float) -> None:
+def _print_recovery_time(label: str, folder: Path, duration_s: float) -> None:
     size = sum(path.stat().st_size for path in folder.iterdir()) / _KIB_BYTES
-    _print(f'{label}: ready after {seconds:.3f} s, {size:.0f} KiB')
+    _write_line(f'{label}: ready after {duration_s:.3f} s, {size:.0f} KiB')
 
 
 def _write_log(folder: Path, count: int) -> None:
@@ -74,25 +76,25 @@
     store.close()
 
 
-def _shorten(folder: Path, count: int) -> None:
-    """Put a snapshot in place of all but the newest commands."""
+def _compact_log(folder: Path, count: int) -> None:
+    """Replace all but the newest commands by a snapshot."""
     store, loaded = open_log_store(folder)
-    kept = loaded.entries[-min(_TAIL, count // 2) :]
-    covered = loaded.entries[: -len(kept)]
+    retained = loaded.entries[-min(_RETAINED_ENTRIES, count // 2) :]
+    covered = loaded.entries[: -len(retained)]
     core = _make_core(loaded._replace(entries=covered), len(covered))
-    saved = _lead(core)
-    if saved is not None:
-        store.save_snapshot(saved.snapshot, kept)
+    save = _become_leader(core)
+    if save is not None:
+        store.save_snapshot(save.snapshot, retained)
     store.close()
 
 
 def _recover(folder: Path) -> float:
     started_s = time.perf_counter()
     store, loaded = open_log_store(folder)
-    _lead(_make_core(loaded, 10**9))
-    seconds = time.perf_counter() - started_s
+    _become_leader(_make_core(loaded, 10**9))
+    duration_s = time.perf_counter() - started_s
     store.close()
-    return seconds
+    return duration_s
 
 
 def _make_core(loaded: LoadedLog, snapshot_entries: int) -> control.ControlCore:
@@ -105,8 +107,8 @@
     )
 
 
-def _lead(core: control.ControlCore) -> consensus.SaveSnapshot | None:
-    """Lead at once on a virtual clock, and give a snapshot if one is due."""
+def _become_leader(core: control.ControlCore) -> consensus.SaveSnapshot | None:
+    """Elect the only replica and return the snapshot to save, if any."""
     outputs = []
     for now_s in _TICKS_S:
         outputs.extend(core.step(control.Tick(), now_s))
@@ -117,17 +119,21 @@
 
 
 def _print_commits(folder: Path) -> None:
-    raw = _time_raw_syncs(folder / 'raw')
-    single = _time_commits(folder / 'single', 1)
-    batched = _time_commits(folder / 'batched', _BATCH)
-    _print(f'{raw:.0f} plain appends with a sync each per second')
-    _print(f'{single:.0f} commits/s one by one, {single / raw:.2f} of plain')
-    _print(
-        f'{batched:.0f} commits/s by {_BATCH}, {batched / single:.1f} times',
+    plain_per_s = _measure_plain_appends(folder / 'raw')
+    single_per_s = _measure_commits(folder / 'single', 1)
+    batched_per_s = _measure_commits(folder / 'batched', _BATCH)
+    _write_line(f'{plain_per_s:.0f} plain appends with a sync each per second')
+    _write_line(
+        f'{single_per_s:.0f} commits/s one by one, '
+        f'{single_per_s / plain_per_s:.2f} of plain'
+    )
+    _write_line(
+        f'{batched_per_s:.0f} commits/s by {_BATCH}, '
+        f'{batched_per_s / single_per_s:.1f} times',
     )
 
 
-def _time_raw_syncs(path: Path) -> float:
+def _measure_plain_appends(path: Path) -> float:
     record = b'x' * 128
     started_s = time.perf_counter()
     with path.open('ab', buffering=0) as file:
@@ -137,7 +143,7 @@
     return _PROPOSALS / (time.perf_counter() - started_s)
 
 
-def _time_commits(folder: Path, batch: int) -> float:
+def _measure_commits(folder: Path, batch: int) -> float:
     store, _ = open_log_store(folder)
     replica = consensus.Replica(_SETTINGS, consensus.HardState(), (), Random(1))
     for now_s in _TICKS_S:
@@ -147,9 +153,9 @@
     started_s = time.perf_counter()
     for _ in range(_PROPOSALS // batch):
         _execute(store, replica.step(proposals, 20))
-    seconds = time.perf_counter() - started_s
+    duration_s = time.perf_counter() - started_s
     store.close()
-    return _PROPOSALS // batch * batch / seconds
+    return _PROPOSALS // batch * batch / duration_s
 
 
 def _execute(store: LogStore, outputs: list[consensus.Output]) -> None:
@@ -162,28 +168,28 @@
 
 def _print_elections(folder: Path) -> None:
     with run_fleet(folder, entry_count=0) as fleet:
-        times_s = [_time_election(fleet) for _ in range(_KILLS)]
+        times_s = [_measure_election_s(fleet) for _ in range(_KILL_COUNT)]
     times_s.sort()
-    _print(
-        f'no leader after kill -9, {_KILLS} times: median '
+    _write_line(
+        f'no leader after kill -9, {_KILL_COUNT} times: median '
         f'{statistics.median(times_s):.2f} s, worst {times_s[-1]:.2f} s',
     )
 
 
-def _time_election(fleet: Fleet) -> float:
+def _measure_election_s(fleet: Fleet) -> float:
     leader = wait_for(lambda: _find_leader(fleet.controls))
     addresses = dict(
         zip(fleet.control_names, fleet.controls.split(','), strict=True),
     )
-    others = ','.join(set(addresses.values()) - {addresses[leader]})
-    # All three must follow first, or there is no majority after the kill.
-    wait_for(lambda: _count_heard(fleet.controls) == len(addresses))
+    other_addresses = ','.join(set(addresses.values()) - {addresses[leader]})
+    # All replicas must be connected, or no majority remains after the kill.
+    wait_for(lambda: _count_connected(fleet.controls) == len(addresses))
     fleet.kill(leader)
     started_s = time.perf_counter()
-    wait_for(lambda: _find_leader(others))
-    seconds = time.perf_counter() - started_s
+    wait_for(lambda: _find_leader(other_addresses))
+    duration_s = time.perf_counter() - started_s
     fleet.start(leader)
-    return seconds
+    return duration_s
 
 
 def _find_leader(controls: str) -> str:
@@ -193,13 +199,13 @@
         return ''
 
 
-def _count_heard(controls: str) -> int:
+def _count_connected(controls: str) -> int:
     try:
-        found = queries.replicas(controls)['replicas']
+        replicas = queries.replicas(controls)['replicas']
     except CodedError:
         return 0
-    return sum(one['is_heard'] for one in found)
+    return sum(one['is_heard'] for one in replicas)
 
 
-def _print(line: str) -> None:
+def _write_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
--- a/bench/retries.py
+++ b/bench/retries.py
@@ -1,6 +1,6 @@
-"""Extra load from retries when a fifth of the upstreams fail.
+"""Extra load from retries when some upstreams fail.
 
-Drives the routing core in virtual time from a declared list of arrivals.
+Simulates the routing core in virtual time on a fixed list of arrivals.
 """
 
 import heapq
@@ -21,7 +21,7 @@
 
 _UPSTREAMS = 20
 _REQUESTS = 10_000
-_PER_S = 400.0
+_REQUESTS_PER_S = 400.0
 _SERVICE_S = 0.05
 _DEADLINE_S = 2.0
 _POOL = 'enrolment'
@@ -29,10 +29,10 @@
 
 class _Case(NamedTuple):
     name: str
-    failing: int
-    failure_share: float
+    failing_count: int
+    failure_rate: float
     has_budget: bool
-    sets_aside: bool
+    ejects: bool
 
 
 _CASES = (
@@ -48,28 +48,28 @@
 
 
 def main() -> None:
-    """Print load and outcome of each case."""
+    """Print load and success rate of each case."""
     print(f'{_REQUESTS} repeatable requests, {_UPSTREAMS} upstreams')
     for case in _CASES:
         _print_case(case)
 
 
 def _print_case(case: _Case) -> None:
-    sent, good = _run(case)
+    attempt_count, good_count = _run(case)
     print(
-        f'  {case.name:<28} load x{sent / _REQUESTS:.3f}  '
-        f'good answers {good / _REQUESTS:.1%}'
+        f'  {case.name:<28} load x{attempt_count / _REQUESTS:.3f}  '
+        f'good answers {good_count / _REQUESTS:.1%}'
     )
 
 
 def _run(case: _Case) -> tuple[int, int]:
     budget = RetryBudget
-    aside = 'sardinemast.routing._health._EJECTION_FAILURE_RATE'
+    failure_rate_path = 'sardinemast.routing._health._EJECTION_FAILURE_RATE'
     with (
         patch.object(
             budget, 'take', budget.take if case.has_budget else _allow
         ),
-        patch(aside, 0.5 if case.sets_aside else 2),
+        patch(failure_rate_path, 0.5 if case.ejects else 2),
     ):
         return _Simulation(case).run()
 
@@ -93,56 +93,60 @@
             Announcement(name, 1, _POOL, '', 0, 'rennes', f'rack-{number // 4}')
             for number, name in enumerate(names)
         )
-        self._failing = set(names[: case.failing])
+        self._failing = set(names[: case.failing_count])
         self._table.replace_roster(roster, 0)
-        self._order = count()
+        self._sequence = count()
         self._events: list[tuple[float, int, str, Any]] = []
-        self._sent = 0
-        self._good = 0
+        self._attempt_count = 0
+        self._good_count = 0
 
     def run(self) -> tuple[int, int]:
-        """Give how many were sent, and how many got a good answer."""
+        """Return the number of attempts and of successful requests."""
         for number in range(_REQUESTS):
-            due_s = number / _PER_S + _DEADLINE_S
+            due_s = number / _REQUESTS_PER_S + _DEADLINE_S
             request = QueuedRequest(number, 'team', _POOL, due_s, True)
-            self._put(number / _PER_S, 'try', request)
+            self._schedule(number / _REQUESTS_PER_S, 'try', request)
         while self._events:
             now_s, _, kind, subject = heapq.heappop(self._events)
             if kind == 'try':
-                self._try(subject, now_s)
+                self._start_attempt(subject, now_s)
             else:
                 request_id, attempt_result = subject
-                self._end(request_id, attempt_result, now_s)
-        return self._sent, self._good
+                self._end_attempt(request_id, attempt_result, now_s)
+        return self._attempt_count, self._good_count
 
-    def _put(self, at_s: float, kind: str, subject: Any) -> None:
-        heapq.heappush(self._events, (at_s, next(self._order), kind, subject))
+    def _schedule(self, at_s: float, kind: str, subject: Any) -> None:
+        heapq.heappush(
+            self._events, (at_s, next(self._sequence), kind, subject)
+        )
 
-    def _try(self, request: QueuedRequest, now_s: float) -> None:
+    def _start_attempt(self, request: QueuedRequest, now_s: float) -> None:
         if now_s >= request.due_s:
             return
         started = self._table.start(self._state, request, now_s)
         if started is None:
-            self._put(now_s + 0.005, 'try', request)
+            self._schedule(now_s + 0.005, 'try', request)
             return
-        self._sent += 1
+        self._attempt_count += 1
         fails = (
             started.upstream.instance in self._failing
-            and self._random.random() < self._case.failure_share
+            and self._random.random() < self._case.failure_rate
+        )
+        # Failures are faster than answers, so a failing upstream receives more
+        # requests.
+        duration_s = (
+            0.002 if fails else self._random.expovariate(1 / _SERVICE_S)
         )
-        # An upstream that fails everything does it faster than the others
-        # answer, and so draws more requests.
-        taken_s = 0.002 if fails else self._random.expovariate(1 / _SERVICE_S)
-        answered = AttemptResult.failed if fails else AttemptResult.answered
-        self._put(now_s + taken_s, 'end', (request.request_id, answered))
+        result = AttemptResult.failed if fails else AttemptResult.answered
+        self._schedule(now_s + duration_s, 'end', (request.request_id, result))
 
-    def _end(
+    def _end_attempt(
         self,
         request_id: int,
         attempt_result: AttemptResult,
         now_s: float,
     ) -> None:
         outcome = self._table.end(request_id, attempt_result, now_s)
-        self._good += attempt_result is AttemptResult.answered
+        self._good_count += attempt_result is AttemptResult.answered
         if outcome.next_step is NextStep.retry:
-            self._put(now_s, 'try', outcome.request)
+            self._schedule(now_s, 'try', outcome.request)
--- a/bench/starts.py
+++ b/bench/starts.py
@@ -1,8 +1,7 @@
-"""Starts through the log: bytes and processor time for each, as fleets grow.
+"""Log bytes and CPU time for each start of a task, as fleets grow.
 
-A leader's dispatcher with model workers that answer at once. Each start is
-recorded, sent, confirmed, and its end recorded. Every command is encoded and
-decoded as the log does it; syncs and sockets are not counted.
+Drives a leader's dispatcher with workers that answer at once. Commands are
+encoded and decoded as in the log; disk syncs and sockets are left out.
 """
 
 import sys
@@ -48,15 +47,15 @@
 
 _STEP_S = 0.02
 _SECONDS = 6.0
-_ANNOUNCE_EVERY_S = 1.5
+_ANNOUNCE_INTERVAL_S = 1.5
 _POOLS = 4
 _MIB = 1024 * 1024
 _MS = 1000
-_WHOLE_PERCENT = 100
+_COMPLETE_PERCENT = 100
 
 
 class Measured(NamedTuple):
-    """Hold what the starts of one fleet took."""
+    """Hold the number of starts and their costs."""
 
     starts: int
     log_bytes: int
@@ -64,38 +63,39 @@
     cpu_s: float
 
 
-class _Load(NamedTuple):
-    """Hold what jobs come, and to how many of the pools."""
+class _Workload(NamedTuple):
+    """Describe the jobs submitted, and to how many of the pools."""
 
-    jobs_a_s: float
+    jobs_per_s: float
     steps: tuple[Step, ...]
     run_s: float
     pools: int = _POOLS
 
 
-_EVEN = _Load(20, (Step(10, Size(2000, 512 * _MIB), 600),), 0.6)
-# One queue's peak, for which its pool of 45 workers has half of the room; the
-# sizes of the users' widest jobs.
-_WIDE = Step(8, Size(13_000, 512 * _MIB), 1300)
-_PEAK = _Load(19, (_WIDE, _WIDE._replace(depends_on=(0,))), 1.3, pools=1)
+_EVEN_LOAD = _Workload(20, (Step(10, Size(2000, 512 * _MIB), 600),), 0.6)
+# Peak of one queue that needs about twice the cores of its 45 workers.
+_WIDE_STEP = Step(8, Size(13_000, 512 * _MIB), 1300)
+_PEAK_LOAD = _Workload(
+    19, (_WIDE_STEP, _WIDE_STEP._replace(depends_on=(0,))), 1.3, pools=1
+)
 
 
-class _Running(NamedTuple):
+class _ActiveRun(NamedTuple):
     number: int
-    begun_s: float
+    started_s: float
 
 
-class _Ending(NamedTuple):
+class _ScheduledEnd(NamedTuple):
     worker: str
     task: TaskKey
     number: int
     due_s: float
 
 
-class _Leader:
-    """Drive a dispatcher whose workers answer at once."""
+class _Simulation:
+    """Simulate a dispatcher and workers that answer at once."""
 
-    def __init__(self, worker_count: int, load: _Load) -> None:
+    def __init__(self, worker_count: int, load: _Workload) -> None:
         self._load = load
         self.state = JobsState()
         self.log_bytes = 0
@@ -106,10 +106,10 @@
         self._announced_s: float = 0
         self._dispatcher = Dispatcher(DispatchSettings())
         self._outputs: deque[DispatchOutput] = deque()
-        self._running: deque[_Ending] = deque()
-        self._waiting: dict[str, PollWorker] = {}
-        self._listed: dict[str, dict[TaskKey, _Running]] = {}
-        self._ended: dict[str, list[ReportedEnd]] = {}
+        self._scheduled_ends: deque[_ScheduledEnd] = deque()
+        self._pending_polls: dict[str, PollWorker] = {}
+        self._active_runs: dict[str, dict[TaskKey, _ActiveRun]] = {}
+        self._unacked_ends: dict[str, list[ReportedEnd]] = {}
         self._positions: dict[str, int] = {}
         names = [f'pool-{number}' for number in range(_POOLS)]
         queues = tuple(
@@ -122,23 +122,23 @@
         self._dispatcher.start_term(self.state, 1, 0)
 
     def run(self) -> Measured:
-        """Let jobs come at an even rate, and measure."""
-        self._pass_time(1)
+        """Submit jobs at a constant rate and measure the starts."""
+        self._advance(1)
         self.log_bytes = 0
         self.entries = 0
         self.starts = 0
-        begun_s = process_time()
-        jobs_a_step = self._load.jobs_a_s * _STEP_S
+        started_s = process_time()
+        jobs_per_step = self._load.jobs_per_s * _STEP_S
         due: float = 0
         number = 0
         for _ in range(round(_SECONDS / _STEP_S)):
-            due += jobs_a_step
+            due += jobs_per_step
             while due >= 1:
                 due -= 1
                 number += 1
                 self._submit(number)
-            self._pass_time(_STEP_S)
-        cpu_s = process_time() - begun_s
+            self._advance(_STEP_S)
+        cpu_s = process_time() - started_s
         return Measured(self.starts, self.log_bytes, self.entries, cpu_s)
 
     def _submit(self, number: int) -> None:
@@ -146,20 +146,23 @@
         pool = f'pool-{number % self._load.pools}'
         now_ms = int(self._now_s * _MS)
         command = SubmitJob(f'job-{number}', pool, '', request, now_ms)
-        self._take(self._commit(command))
+        self._execute(self._commit(command))
 
-    def _pass_time(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         for _ in range(round(seconds / _STEP_S)):
             self._now_s += _STEP_S
             self._announce()
-            while self._running and self._running[0].due_s <= self._now_s:
-                self._end(self._running.popleft())
+            while (
+                self._scheduled_ends
+                and self._scheduled_ends[0].due_s <= self._now_s
+            ):
+                self._end_run(self._scheduled_ends.popleft())
             now_ms = int(self._now_s * _MS)
-            self._take(self._dispatcher.tick(self._now_s, now_ms))
+            self._execute(self._dispatcher.tick(self._now_s, now_ms))
 
     def _announce(self) -> None:
-        # Idle workers say nothing else, and get nothing new once silent.
-        if self._now_s >= self._announced_s + _ANNOUNCE_EVERY_S:
+        # Workers without announcements are considered lost and get no runs.
+        if self._now_s >= self._announced_s + _ANNOUNCE_INTERVAL_S:
             self._announced_s = self._now_s
             for name in self.state.workers:
                 self._dispatcher.record_announcement(name, self._now_s)
@@ -175,7 +178,7 @@
         now_ms = int(self._now_s * _MS)
         return self._dispatcher.handle_applied(decoded, self._now_s, now_ms)
 
-    def _take(self, outputs: list[DispatchOutput]) -> None:
+    def _execute(self, outputs: list[DispatchOutput]) -> None:
         queue = deque(outputs)
         while queue:
             output = queue.popleft()
@@ -184,15 +187,17 @@
             elif isinstance(output, StartRun):
                 queue.extend(self._start(output))
             elif isinstance(output, PollWorker):
-                self._look(output, queue)
+                self._poll(output, queue)
 
     def _start(self, order: StartRun) -> list[DispatchOutput]:
         self.starts += 1
         name = order.worker.name
         due_s = self._now_s + self._load.run_s
-        self._running.append(_Ending(name, order.task, order.number, due_s))
-        running = _Running(order.number, self._now_s)
-        self._listed.setdefault(name, {})[order.task] = running
+        self._scheduled_ends.append(
+            _ScheduledEnd(name, order.task, order.number, due_s)
+        )
+        running = _ActiveRun(order.number, self._now_s)
+        self._active_runs.setdefault(name, {})[order.task] = running
         answered = StartAnswered(
             name,
             order.task,
@@ -203,57 +208,56 @@
         )
         return self._step(answered)
 
-    def _look(
+    def _poll(
         self,
         order: PollWorker,
         queue: deque[DispatchOutput],
     ) -> None:
-        # A look that waits is answered when something has ended, at the
-        # moment that ``_end`` chooses; the first one is answered at once.
+        # A long poll is answered when a run ends, the first poll at once.
         if order.wait_ms:
-            self._waiting[order.worker.name] = order
+            self._pending_polls[order.worker.name] = order
         else:
-            queue.extend(self._answer_look(order))
+            queue.extend(self._answer_poll(order))
 
-    def _answer_look(self, order: PollWorker) -> list[DispatchOutput]:
+    def _answer_poll(self, order: PollWorker) -> list[DispatchOutput]:
         name = order.worker.name
-        ended = self._ended.get(name, [])
-        kept = [one for one in ended if one.position > order.acked_position]
-        self._ended[name] = kept
+        ended = self._unacked_ends.get(name, [])
+        unacked = [one for one in ended if one.position > order.acked_position]
+        self._unacked_ends[name] = unacked
         running = tuple(
             ReportedRun(task, one.number, '', self._get_percent(one))
-            for task, one in self._listed.get(name, {}).items()
+            for task, one in self._active_runs.get(name, {}).items()
         )
-        answer = WorkerReport(1, self._get_clock_ms(), running, tuple(kept))
+        report = WorkerReport(1, self._get_clock_ms(), running, tuple(unacked))
         return self._step(
             WorkerPolled(
                 name,
                 order.fence,
                 order.sent_s,
                 OrderOutcome.done,
-                answer,
+                report,
             ),
         )
 
-    def _end(self, ending: _Ending) -> None:
-        name = ending.worker
+    def _end_run(self, scheduled: _ScheduledEnd) -> None:
+        name = scheduled.worker
         position = self._positions.get(name, 0) + 1
         self._positions[name] = position
-        self._listed[name].pop(ending.task)
-        self._ended.setdefault(name, []).append(
-            ReportedEnd(position, ending.task, ending.number, 'done'),
+        self._active_runs[name].pop(scheduled.task)
+        self._unacked_ends.setdefault(name, []).append(
+            ReportedEnd(position, scheduled.task, scheduled.number, 'done'),
         )
-        look = self._waiting.pop(name, None)
-        if look is not None:
-            self._take(self._answer_look(look))
+        poll = self._pending_polls.pop(name, None)
+        if poll is not None:
+            self._execute(self._answer_poll(poll))
 
     def _step(self, event: DispatchEvent) -> list[DispatchOutput]:
         now_ms = int(self._now_s * _MS)
         return self._dispatcher.step(event, self._now_s, now_ms)
 
-    def _get_percent(self, running: _Running) -> int:
-        since_s = self._now_s - running.begun_s
-        return min(int(_WHOLE_PERCENT * since_s / self._load.run_s), 99)
+    def _get_percent(self, running: _ActiveRun) -> int:
+        elapsed_s = self._now_s - running.started_s
+        return min(int(_COMPLETE_PERCENT * elapsed_s / self._load.run_s), 99)
 
     def _get_clock_ms(self) -> int:
         return _MS + int(self._now_s * _MS)
@@ -274,19 +278,19 @@
 
 
 def main() -> None:
-    """Print what a start takes as fleets grow, and in a queue's peak."""
+    """Print costs for growing fleets and in the peak of a queue."""
     for workers in (40, 200, 1900):
-        _show(workers, 'even load', _EVEN)
-    _show(180, 'a peak', _PEAK)
+        _print_costs(workers, 'even load', _EVEN_LOAD)
+    _print_costs(180, 'a peak', _PEAK_LOAD)
 
 
-def _show(workers: int, name: str, load: _Load) -> None:
-    found = _Leader(workers, load).run()
-    per_start = found.log_bytes / max(found.starts, 1)
-    cpu_us = 1_000_000 * found.cpu_s / max(found.starts, 1)
+def _print_costs(workers: int, name: str, load: _Workload) -> None:
+    measured = _Simulation(workers, load).run()
+    per_start = measured.log_bytes / max(measured.starts, 1)
+    cpu_us = 1_000_000 * measured.cpu_s / max(measured.starts, 1)
     sys.stdout.write(
         f'{workers:>5} workers, {name}: '
-        f'{found.starts / _SECONDS:.0f} starts/s, '
-        f'{per_start:.0f} bytes a start in {found.entries} entries, '
+        f'{measured.starts / _SECONDS:.0f} starts/s, '
+        f'{per_start:.0f} bytes a start in {measured.entries} entries, '
         f'{cpu_us:.0f} us a start\n',
     )
--- a/bench/waves.py
+++ b/bench/waves.py
@@ -1,7 +1,7 @@
-"""Waves over whole fleets in virtual time, against one instance at a time.
+"""Maintenance waves in virtual time, against one instance at a time.
 
-Kerlann's and Atlas's fleets have the same shape, five pools of eight over
-four data centres; the target is 1,900 workers in 45 pools.
+Kerlann's and Atlas's fleets have five pools of eight over four data centres;
+the target is 1,890 workers in 45 pools.
 """
 
 import sys
@@ -12,30 +12,30 @@
 
 from sardinemast import maintenance
 
-_WALL_S = 1_000_000.0
+_WALL_CLOCK_S = 1_000_000.0
 _REBOOT_S = 90
-_LIMIT_S = 7000
+_MAX_DURATION_S = 7000
 _GROWTH_S = 150
-_CENTRES = 4
-_PER_RACK = 4
+_DATA_CENTRES = 4
+_INSTANCES_PER_RACK = 4
 
 
-class Size(NamedTuple):
-    """Name a fleet and its size."""
+class FleetSize(NamedTuple):
+    """Describe a fleet by its pools and how long a drain takes."""
 
     name: str
     pools: int
-    per_pool: int
+    instances_per_pool: int
     drain_s: int
 
     @property
     def workers(self) -> int:
-        """Count all workers."""
-        return self.pools * self.per_pool
+        """Return the number of workers."""
+        return self.pools * self.instances_per_pool
 
 
 class Measured(NamedTuple):
-    """Hold what one wave cost."""
+    """Hold the duration and costs of a wave."""
 
     rollout_s: float
     idle_instance_s: float
@@ -46,28 +46,30 @@
     memory_bytes: int
 
 
-KERLANN = Size('Kerlann', 5, 8, 20)
-ATLAS = Size('Atlas', 5, 8, 60)
+KERLANN = FleetSize('Kerlann', 5, 8, 20)
+ATLAS = FleetSize('Atlas', 5, 8, 60)
 SIZES = (
-    Size('40', 5, 8, 20),
-    Size('200', 10, 20, 20),
-    Size('800', 25, 32, 20),
-    Size('1890 (target)', 45, 42, 20),
+    FleetSize('40', 5, 8, 20),
+    FleetSize('200', 10, 20, 20),
+    FleetSize('800', 25, 32, 20),
+    FleetSize('1890 (target)', 45, 42, 20),
 )
 
 
 def main() -> None:
-    """Print roll-out time, buffer cost and effort."""
+    """Print roll-out time, downtime and CPU time of the leader."""
     for size in (KERLANN, ATLAS):
         _compare(size)
-    _grow()
+    _measure_growth()
 
 
-def _compare(size: Size) -> None:
-    at_once = _Fleet(size, at_once=size.workers).run()
-    single = _extrapolate(_Fleet(size, at_once=1).run(_LIMIT_S), size)
-    failing = _Fleet(size, at_once=size.workers, failure_period_s=240)
-    _tell(
+def _compare(size: FleetSize) -> None:
+    at_once = _Simulation(size, at_once=size.workers).run()
+    single = _extrapolate(
+        _Simulation(size, at_once=1).run(_MAX_DURATION_S), size
+    )
+    failing = _Simulation(size, at_once=size.workers, failure_period_s=240)
+    _write_line(
         f'{size.name}: {size.workers} workers, {size.pools} pools, '
         f'drain {size.drain_s} s, reboot {_REBOOT_S} s',
     )
@@ -76,7 +78,7 @@
         ('budgets', at_once),
         ('budgets, a failure each 240 s', failing.run()),
     ):
-        _tell(
+        _write_line(
             f'  {name:<30} roll-out {measured.rollout_s:>8.0f} s '
             f'({measured.rollout_s / single.rollout_s:.3f}), down '
             f'{measured.idle_instance_s:>8.0f} instance-s '
@@ -85,12 +87,12 @@
         )
 
 
-def _extrapolate(measured: Measured, size: Size) -> Measured:
-    """Stretch a run that was cut short, by its steps."""
+def _extrapolate(measured: Measured, size: FleetSize) -> Measured:
+    """Extrapolate a run that was stopped early to all workers."""
     if measured.steps >= size.workers:
         return measured
     factor = size.workers / measured.steps
-    _tell(f'  one at a time is stretched from {measured.steps} steps')
+    _write_line(f'  one at a time is stretched from {measured.steps} steps')
     return measured._replace(
         rollout_s=measured.rollout_s * factor,
         idle_instance_s=measured.idle_instance_s * factor,
@@ -98,18 +100,18 @@
     )
 
 
-def _grow() -> None:
-    _tell('Effort of the leader, one plan a second, during a wave')
+def _measure_growth() -> None:
+    _write_line('Effort of the leader, one plan a second, during a wave')
     first: Measured | None = None
     for size in SIZES:
-        measured = _Fleet(size, at_once=size.workers).run(_GROWTH_S)
+        measured = _Simulation(size, at_once=size.workers).run(_GROWTH_S)
         first = first or measured
-        _tell(f'  {size.name:<15} {_describe(size, measured, first)}')
+        _write_line(f'  {size.name:<15} {_describe(size, measured, first)}')
 
 
-def _describe(size: Size, measured: Measured, first: Measured) -> str:
-    traced = _Fleet(size, at_once=size.workers, is_traced=True).run(60)
-    idle = _Fleet(size, at_once=0).run(20)
+def _describe(size: FleetSize, measured: Measured, first: Measured) -> str:
+    traced = _Simulation(size, at_once=size.workers, is_traced=True).run(60)
+    idle = _Simulation(size, at_once=0).run(20)
     per_plan_ms = measured.cpu_s / measured.plans * 1000
     growth = per_plan_ms / (first.cpu_s / first.plans * 1000)
     return (
@@ -121,12 +123,12 @@
     )
 
 
-class _Fleet:
-    """Hold a fleet whose instances and entries do all that is asked."""
+class _Simulation:
+    """Simulate a leader, instances and entries that obey all orders."""
 
     def __init__(
         self,
-        size: Size,
+        size: FleetSize,
         at_once: int,
         failure_period_s: int = 0,
         is_traced: bool = False,
@@ -140,7 +142,7 @@
         self.core = maintenance.MaintenanceCore(lambda: self.state)
         self._index = 0
         self._now_s = 0
-        self._back_s: dict[str, int] = {}
+        self._up_at_s: dict[str, int] = {}
         self._incarnations: dict[str, int] = {}
         self._entry_runs = [
             maintenance.EntryRun(f'entry-{number}', 1) for number in range(8)
@@ -148,16 +150,16 @@
         self._cpu_s: float = 0
         self._moves = 0
         self._steps = 0
-        self._enrol()
-        self._start(at_once)
+        self._enrol_fleet()
+        self._start_wave(at_once)
 
-    def run(self, limit_s: int = _LIMIT_S) -> Measured:
-        """Run a wave to its end."""
+    def run(self, limit_s: int = _MAX_DURATION_S) -> Measured:
+        """Run until the wave ends or the time limit."""
         down = 0
         start_s = self._now_s
         while self._is_running() and self._now_s - start_s < limit_s:
-            self._live()
-            down += self._count_down()
+            self._advance()
+            down += self._count_not_serving()
         memory_bytes = 0
         if self._is_traced:
             memory_bytes = tracemalloc.get_traced_memory()[0]
@@ -176,19 +178,19 @@
         status = self.state.waves['wave'].status
         return status is not maintenance.WaveStatus.done
 
-    def _count_down(self) -> int:
+    def _count_not_serving(self) -> int:
         serving = maintenance.Condition.serving
         return sum(
             one.condition is not serving
             for one in self.state.instances.values()
         )
 
-    def _enrol(self) -> None:
+    def _enrol_fleet(self) -> None:
         pools = tuple(
             maintenance.PoolBudget(
                 f'pool-{number}',
-                down_max=self._size.per_pool // 2,
-                serving_min=self._size.per_pool // 2 - 1,
+                down_max=self._size.instances_per_pool // 2,
+                serving_min=self._size.instances_per_pool // 2 - 1,
                 reserve=maintenance.DomainKind.rack,
             )
             for number in range(self._size.pools)
@@ -196,15 +198,15 @@
         budgets = maintenance.Budgets(pools, (), 'pool-0')
         self._commit(maintenance.commands.SetBudgets('b', budgets))
         for pool in range(self._size.pools):
-            for number in range(self._size.per_pool):
-                self._enrol_one(pool, number)
+            for number in range(self._size.instances_per_pool):
+                self._enrol_instance(pool, number)
         for run in self._entry_runs:
             self._commit(maintenance.commands.NoteEntry(run))
 
-    def _enrol_one(self, pool: int, number: int) -> None:
+    def _enrol_instance(self, pool: int, number: int) -> None:
         name = f'pool-{pool}-{number}'
-        centre = number % _CENTRES
-        rack = number // _CENTRES // _PER_RACK
+        centre = number % _DATA_CENTRES
+        rack = number // _DATA_CENTRES // _INSTANCES_PER_RACK
         self._incarnations[name] = 1
         self._commit(
             maintenance.commands.EnrolInstance(
@@ -213,14 +215,14 @@
                 f'centre-{centre}',
                 f'rack-{pool}-{rack}',
                 f'pool-{pool}',
-                _WALL_S,
+                _WALL_CLOCK_S,
             ),
         )
 
-    def _start(self, at_once: int) -> None:
+    def _start_wave(self, at_once: int) -> None:
         self.core.step(maintenance.TermStarted(), 0)
-        while self._count_down():
-            self._live()
+        while self._count_not_serving():
+            self._advance()
         self._cpu_s = 0
         plan = maintenance.WavePlan(
             'wave',
@@ -228,26 +230,26 @@
             at_once=at_once,
             resume_after_s=60,
         )
-        wall_s = _WALL_S + self._now_s
+        wall_s = _WALL_CLOCK_S + self._now_s
         self._commit(maintenance.commands.StartWave('w', plan, wall_s))
 
-    def _live(self) -> None:
+    def _advance(self) -> None:
         self._now_s += 1
         if self._failure_period_s and not self._now_s % self._failure_period_s:
-            self._fail()
+            self._fail_instance()
         for event in self._get_events():
             started_s = process_time()
             outputs = self.core.step(event, self._now_s)
             for output in outputs:
-                self._carry_out(output)
+                self._execute(output)
             self._cpu_s += process_time() - started_s
 
-    def _fail(self) -> None:
+    def _fail_instance(self) -> None:
         names = sorted(self.state.instances)
         name = names[self._now_s * 7919 % len(names)]
-        if self._back_s.get(name, 0) <= self._now_s:
+        if self._up_at_s.get(name, 0) <= self._now_s:
             self._incarnations[name] += 1
-            self._back_s[name] = self._now_s + _REBOOT_S
+            self._up_at_s[name] = self._now_s + _REBOOT_S
 
     def _get_events(self) -> Iterator[maintenance.Event]:
         yield maintenance.InstancesReported(
@@ -258,36 +260,38 @@
                     known.pool,
                 )
                 for name, known in self.state.instances.items()
-                if self._back_s.get(name, 0) <= self._now_s
+                if self._up_at_s.get(name, 0) <= self._now_s
             ),
         )
         busy = frozenset(
             one.name
             for one in self.state.get_stepping()
             if one.step
-            and self._now_s < self._started_s(one) + self._size.drain_s
+            and self._now_s < self._get_drain_start_s(one) + self._size.drain_s
         )
         for run in self._entry_runs:
             yield maintenance.DrainsReported(run, self._index, busy)
-        yield maintenance.Tick(_WALL_S + self._now_s)
+        yield maintenance.Tick(_WALL_CLOCK_S + self._now_s)
 
-    def _started_s(self, instance: maintenance.Instance) -> int:
-        # Work that was under way at the start of the drain ends evenly.
+    def _get_drain_start_s(self, instance: maintenance.Instance) -> int:
+        # Requests in flight last for the drain time after the step is seen.
         if instance.condition in maintenance.UNCUT and instance.step:
             key = f'{instance.name}:{instance.step.log_index}'
-            return self._back_s.setdefault(key, self._now_s)
+            return self._up_at_s.setdefault(key, self._now_s)
         return 0
 
-    def _carry_out(self, output: maintenance.Output) -> None:
+    def _execute(self, output: maintenance.Output) -> None:
         if isinstance(output, maintenance.Propose):
             self._commit(output.command)
-            joins = isinstance(output.command, maintenance.commands.JoinPool)
-            self._moves += int(joins)
+            joins_pool = isinstance(
+                output.command, maintenance.commands.JoinPool
+            )
+            self._moves += int(joins_pool)
         elif isinstance(output, maintenance.AskPlatform):
             if output.action is maintenance.PlatformAction.reboot:
                 self._steps += 1
                 self._incarnations[output.instance] += 1
-                self._back_s[output.instance] = self._now_s + _REBOOT_S
+                self._up_at_s[output.instance] = self._now_s + _REBOOT_S
             answer = maintenance.PlatformAnswered(output.request_id)
             self.core.step(answer, self._now_s)
 
@@ -296,5 +300,5 @@
         maintenance.apply_command(self.state, command, self._index)
 
 
-def _tell(line: str) -> None:
+def _write_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
--- a/tests/reports/test_pool_sizes.py
+++ b/tests/reports/test_pool_sizes.py
@@ -1,4 +1,4 @@
-"""Sizes of pools over time, read from a log."""
+"""Pool sizes over time, computed from a log."""
 
 from tools.pool_sizes import Move, count_workers, iterate_moves
 
@@ -12,16 +12,16 @@
 )
 
 
-def test_moves_are_read_among_other_lines() -> None:
-    """Lines of other kinds, and words before a record, are passed over."""
+def test_iterate_moves_skips_other_lines() -> None:
+    """Guard against failing on lines without a move or with a prefix."""
     first, second = iterate_moves(_LINES)
     assert (first.from_pool, first.to_pool) == ('a', 'off')
     assert (second.from_pool, second.to_pool) == ('', 'b')
     assert second.at_s - first.at_s == 3
 
 
-def test_sizes_follow_the_moves() -> None:
-    """An instance that was off is taken from no pool."""
+def test_count_workers_follows_moves() -> None:
+    """Guard against subtracting a standby instance from a pool."""
     moves = [Move(4, '', 'b'), Move(1, 'a', 'off')]
     assert list(count_workers(moves, usual=8, every_s=2)) == [
         (2, {'a': 7, 'b': 8, 'off': 9}),
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools of maintainers."""
+"""Tools for maintainers."""
--- a/tools/pool_sizes.py
+++ b/tools/pool_sizes.py
@@ -1,10 +1,9 @@
-"""Show how many workers each pool has over time, from the logs of a fleet.
+"""Print the number of workers per pool over time, from the logs of a fleet.
 
     python -m tools.pool_sizes LOG --usual=8 --every_s=2
 
-Each line of the log holds one JSON record, with or without words before it.
-The pools count from their usual sizes; instances that fail or are maintained
-are not told apart.
+Log lines hold a JSON record each, possibly after a prefix. All pools start at
+their usual size; instances that fail or are maintained still count.
 """
 
 import json
@@ -22,9 +21,9 @@
 
 
 class Move(NamedTuple):
-    """Hold when an instance was ordered from one pool to another.
+    """Hold an order to move an instance.
 
-    An instance that is brought in stood by, in a pool that costs nothing.
+    ``from_pool`` is empty if the instance comes from a standby pool.
     """
 
     at_s: float
@@ -33,14 +32,14 @@
 
 
 class PoolSizes(NamedTuple):
-    """Hold the workers of each pool at the end of a span of time."""
+    """Hold the number of workers per pool at the end of an interval."""
 
     at_s: float
     workers: dict[str, int]
 
 
 def iterate_moves(lines: Iterable[str]) -> Iterator[Move]:
-    """Give the moves in a log; lines that are no records are passed over."""
+    """Return the moves in a log; lines without a record are skipped."""
     for line in lines:
         _, brace, rest = line.partition('{')
         try:
@@ -60,17 +59,19 @@
     usual: int,
     every_s: float,
 ) -> Iterator[PoolSizes]:
-    """Give the sizes of all pools at the end of each span with a move."""
+    """Return the pool sizes at the end of each interval with a move."""
     ordered = sorted(moves)
     sizes = Counter(dict.fromkeys(_find_pools(ordered), usual))
-    spans: dict[int, list[Move]] = defaultdict(list)
+    moves_by_interval: dict[int, list[Move]] = defaultdict(list)
     for move in ordered:
-        spans[int((move.at_s - ordered[0].at_s) // every_s)].append(move)
-    for span, inside in spans.items():
-        _, left, joined = zip(*inside, strict=True)
-        sizes.update(joined)
-        sizes.subtract(filter(None, left))
-        yield PoolSizes((span + 1) * every_s, dict(sorted(sizes.items())))
+        moves_by_interval[int((move.at_s - ordered[0].at_s) // every_s)].append(
+            move
+        )
+    for interval, interval_moves in moves_by_interval.items():
+        _, from_pools, to_pools = zip(*interval_moves, strict=True)
+        sizes.update(to_pools)
+        sizes.subtract(filter(None, from_pools))
+        yield PoolSizes((interval + 1) * every_s, dict(sorted(sizes.items())))
 
 
 def _find_pools(moves: list[Move]) -> set[str]:
@@ -80,7 +81,7 @@
 
 
 def print_sizes(log: str, usual: int = 8, every_s: float = 2.0) -> None:
-    """Print a line for each span of time in which something moved."""
+    """Print a line for each interval with a move."""
     with Path(log).open() as lines:
         moves = list(iterate_moves(lines))
     for at_s, sizes in count_workers(moves, usual, every_s):
