--- a/tests/builders/__init__.py
+++ b/tests/builders/__init__.py
@@ -1,4 +1,4 @@
-"""Builders of test data, and the one way to write a golden session."""
+"""Test fixtures: builders, simulated processes and golden sessions."""
 
 from builders.fleets import make_announcement, make_document, make_fleet
 from builders.golden import Session, check_golden
--- a/tests/builders/certificates.py
+++ b/tests/builders/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for tests."""
+"""Certificates of a test authority."""
 
 from pathlib import Path
 
@@ -13,7 +13,7 @@
     name: str,
     unit: str,
 ) -> Security:
-    """Write a certificate of the authority, in place of an older one."""
+    """Issue a certificate and write it, replacing an older one."""
     security = Security(
         folder / 'authority.pem',
         folder / f'{name}.pem',
--- a/tests/builders/claims.py
+++ b/tests/builders/claims.py
@@ -1,4 +1,4 @@
-"""Entries that hold keys together, and the messages between them."""
+"""Simulated entries that share idempotency keys over a network."""
 
 from typing import NamedTuple
 
@@ -22,7 +22,7 @@
 
 
 class Envelope(NamedTuple):
-    """Hold a message under way."""
+    """A message in flight."""
 
     sender: Member
     to: str
@@ -30,7 +30,7 @@
 
 
 class Node:
-    """Hold one start of an entry."""
+    """One incarnation of an entry."""
 
     def __init__(self, own: Member, now_s: float) -> None:
         self.own = own
@@ -40,18 +40,18 @@
 
 
 class Entries:
-    """Hold some entries, their log of registrations and a bag of messages."""
+    """Simulate entries, their log of registrations and their network."""
 
     def __init__(self) -> None:
         self.now_s = 1000.0
         self.log: list[Member] = []
         self.nodes: dict[str, Node] = {}
-        self.bag: list[Envelope] = []
+        self.in_flight: list[Envelope] = []
         self.decided: dict[int, ClaimDecided] = {}
         self.last_request = 0
 
     def start(self, name: str, *, sees_log: bool = True) -> None:
-        """Start an entry, with no memory of a former start."""
+        """Start a new incarnation of an entry with empty state."""
         own = Member(name, len(self.log) + 1)
         self.log.append(own)
         self.nodes[name] = Node(own, self.now_s)
@@ -59,7 +59,7 @@
             self.catch_up(name)
 
     def catch_up(self, name: str) -> None:
-        """Let an entry apply the whole log."""
+        """Apply the whole log at an entry."""
         node = self.nodes[name]
         node.applied = len(self.log)
         newest = {one.entry: one for one in self.log}
@@ -67,50 +67,50 @@
         self.feed(name, ViewChanged(view))
 
     def feed(self, name: str, event: IdempotencyEvent) -> None:
-        """Feed an event to an entry, and take what it says."""
+        """Pass an event to an entry and collect its outputs."""
         node = self.nodes[name]
         for output in node.core.step(event, self.now_s):
             if isinstance(output, SendToPeer):
-                self.bag.append(
+                self.in_flight.append(
                     Envelope(node.own, output.entry, output.message)
                 )
             else:
                 self.decided[output.request_id] = output
 
     def claim(self, name: str, key: bytes, content: bytes = b'c') -> int:
-        """Let an entry claim a key, and give the request's id."""
+        """Claim a key at an entry and return the request's id."""
         self.last_request += 1
         request_id = self.last_request
         self.feed(name, ClaimRequested(request_id, key, content, BOUND_S))
         return request_id
 
     def end(self, name: str, known: RequestEnded) -> None:
-        """Tell how a granted request ended."""
+        """Pass the outcome of a granted request to an entry."""
         self.feed(name, known)
 
     def deliver(self, envelope: Envelope) -> None:
-        """Deliver a message, where its receiver is up."""
+        """Deliver a message if its recipient is running."""
         if envelope.to in self.nodes:
             self.feed(
                 envelope.to, PeerReceived(envelope.sender, envelope.message)
             )
 
     def deliver_between(self, first: str, second: str) -> None:
-        """Deliver what is under way from one entry to another."""
+        """Deliver the messages in flight from one entry to another."""
         chosen = [
             one
-            for one in self.bag
+            for one in self.in_flight
             if (one.sender.entry, one.to) == (first, second)
         ]
         for envelope in chosen:
-            self.bag.remove(envelope)
+            self.in_flight.remove(envelope)
             self.deliver(envelope)
 
     def settle(self, *names: str) -> None:
-        """Deliver all, with ticks of those named, or of all."""
+        """Deliver all messages; tick the named entries, or all by default."""
         for _ in range(5):
             for name in names or tuple(self.nodes):
                 self.feed(name, Tick())
-            while self.bag:
-                self.deliver(self.bag.pop(0))
+            while self.in_flight:
+                self.deliver(self.in_flight.pop(0))
             self.now_s += 0.11
--- a/tests/builders/disks.py
+++ b/tests/builders/disks.py
@@ -1,4 +1,4 @@
-"""File functions that fail, kill the process or lose what is not synced."""
+"""File functions with injected errors, crashes and power loss."""
 
 import errno
 import os
@@ -8,14 +8,14 @@
 
 
 class KilledError(Exception):
-    """End the process in the middle of a step."""
+    """Raised where a simulated crash interrupts a file operation."""
 
 
 class FaultyFiles:
-    """Carry out file steps until one is due to fail.
+    """Perform file operations and inject a fault after a set number.
 
-    ``power_loss`` takes back what was not synced: the end of files, and names
-    whose folder was not synced.
+    ``lose_power`` reverts what was not synced: bytes at the end of files, and
+    renames in a folder that was not synced.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
 
     @property
     def functions(self) -> FileFunctions:
-        """Give the functions to be handed to a store."""
+        """Return the file functions to pass to a store."""
         return FileFunctions(
             self._create,
             self._reopen,
@@ -39,8 +39,8 @@
             self._sync_folder,
         )
 
-    def power_loss(self) -> None:
-        """Lose all that was not synced."""
+    def lose_power(self) -> None:
+        """Discard all writes and renames that were not synced."""
         for path, size in self._synced_bytes.items():
             if path.exists() and path.stat().st_size > size:
                 os.truncate(path, size)
--- a/tests/builders/election_rules.py
+++ b/tests/builders/election_rules.py
@@ -1,4 +1,4 @@
-"""Rules of random histories in which leaders come and go."""
+"""Hypothesis rules for random leader changes."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -7,7 +7,7 @@
 
 
 class ElectionRules(RuleBasedStateMachine):
-    """Elect leaders, hold the log, and check that each task runs once."""
+    """Change leaders, delay commits and check that tasks run once."""
 
     def __init__(self, worker_count: int) -> None:
         super().__init__()
@@ -17,14 +17,14 @@
 
     @rule()
     def hold(self) -> None:
-        """Let the log stand still, or commit what has waited."""
+        """Hold proposals, or release and commit those that are held."""
         self.fleet.is_held = not self.fleet.is_held
         if not self.fleet.is_held:
             self.fleet.commit_held()
 
     @rule(kept=st.integers(0, 3))
     def elect(self, kept: int) -> None:
-        """Let another leader begin; the log may have some proposals."""
+        """Elect a new leader; commit the first ``kept`` held proposals."""
         commands = list(self.fleet.proposed)[:kept]
         self.fleet.elect()
         for command in commands:
@@ -32,7 +32,7 @@
 
     @invariant()
     def runs_once(self) -> None:
-        """Check that no task runs at two workers at once."""
+        """Check that no task runs on two workers at once."""
         running = [
             task
             for model in self.fleet.workers.values()
--- a/tests/builders/fleets.py
+++ b/tests/builders/fleets.py
@@ -1,4 +1,4 @@
-"""Small fleets."""
+"""Builders of a small fleet's documents and states."""
 
 from sardinemast.fleet import (
     ApplyDocument,
@@ -19,7 +19,7 @@
 
 
 def make_document(limit: int = 3) -> FleetDocument:
-    """Make a document with one site, one pool and one team."""
+    """Return a document with one site, one pool and one team."""
     return FleetDocument(
         sites={'rennes': Site('rennes', 'brittany')},
         pools={'enrolment': Pool('enrolment', slots=2)},
@@ -29,7 +29,7 @@
 
 
 def make_fleet(limit: int = 3) -> FleetState:
-    """Make a state with a key and one placed instance."""
+    """Return a state with a granted key and one assigned instance."""
     state = FleetState()
     commands: tuple[Command, ...] = (
         ApplyDocument('c1', 0, make_document(limit)),
@@ -45,7 +45,7 @@
     instance: str = 'enrol-1',
     port: int = 9001,
 ) -> Announcement:
-    """Make the announcement of an upstream of the pool."""
+    """Return the announcement of an upstream in the pool."""
     return Announcement(
         instance,
         1,
--- a/tests/builders/golden.py
+++ b/tests/builders/golden.py
@@ -1,8 +1,8 @@
-"""Golden files of whole sessions.
+"""Golden files of recorded sessions.
 
-A session feeds events to a core and writes down each event and all outputs.
-``UPDATE_GOLDEN=1 make test`` writes the files anew; the change is then read
-and committed like any other.
+A session passes events to a core and records each event with its outputs.
+``UPDATE_GOLDEN=1 make test`` rewrites the files; review the diff before
+committing it.
 """
 
 import os
@@ -14,7 +14,7 @@
 
 
 class Session:
-    """Write down what goes into a core and what comes out."""
+    """Record the events and outputs of a core."""
 
     def __init__(self, step: Callable[[Any, float], list[Any]]) -> None:
         self._step = step
@@ -22,15 +22,15 @@
 
     @property
     def transcript(self) -> str:
-        """Give the whole session as text."""
+        """Return the whole session as text."""
         return '\n'.join((*self._lines, ''))
 
     def note(self, text: str) -> None:
-        """Write a sentence between events."""
+        """Add a comment line between events."""
         self._lines.append(f'# {text}')
 
     def step(self, event: Any, now_s: float) -> list[Any]:
-        """Feed one event, and give the outputs."""
+        """Pass an event to the core and return its outputs."""
         outputs = self._step(event, now_s)
         self._lines.append(f'{now_s:8.3f} > {event}')
         self._lines.extend(f'{" " * 8} < {output}' for output in outputs)
@@ -38,7 +38,7 @@
 
 
 def check_golden(name: str, transcript: str) -> None:
-    """Compare a transcript with the golden file of the name."""
+    """Compare a transcript with the golden file of this name."""
     path = _FOLDER / f'{name}.txt'
     if os.environ.get('UPDATE_GOLDEN'):
         path.write_text(transcript)
--- a/tests/builders/jobs.py
+++ b/tests/builders/jobs.py
@@ -1,4 +1,4 @@
-"""Fleets for jobs, and the truth that the cores can't see."""
+"""Simulated workers that check the invariants of job placement."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -28,7 +28,7 @@
     memory_bytes: int = 1000,
     **options: Any,
 ) -> placement.commands.JobRequest:
-    """Make a request for a job that fills a worker."""
+    """Return a job request that takes all cores of a worker by default."""
     return placement.commands.JobRequest(
         name,
         'kerlann',
@@ -39,8 +39,8 @@
     )
 
 
-class TrueWorker:
-    """Hold what a worker truly runs."""
+class SimulatedWorker:
+    """Simulate a worker and its actual runs."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -53,8 +53,8 @@
         self.uses: dict[int, placement.Size] = {}
         self.ends: dict[int, placement.commands.RunEnd] = {}
 
-    def lapse(self) -> None:
-        """Stop everything and take a new incarnation."""
+    def restart(self) -> None:
+        """Stop all runs and begin a new incarnation."""
         self.runs.clear()
         self.throttled.clear()
         self.ends.clear()
@@ -66,7 +66,7 @@
         outcome: placement.RunResult,
         peak: placement.Size | None = None,
     ) -> None:
-        """End a run, or remember that it may never start."""
+        """End a run and store its result."""
         ask = self.runs.pop(token, None)
         if ask is not None:
             self.ends[token] = placement.commands.RunEnd(
@@ -77,7 +77,7 @@
             )
 
     def carry_out(self, ask: placement.AskWorker, now_s: float) -> None:
-        """Do what the leader asks, if it means this incarnation."""
+        """Execute a request that is meant for this incarnation."""
         if ask.incarnation != self.incarnation or not self.is_up:
             return
         if now_s >= self.lease_until_s:
@@ -95,7 +95,7 @@
             self.end(ask.token, placement.RunResult.stopped)
 
     def report(self, now_s: float) -> placement.WorkerReported:
-        """Say what the worker says; what runs take is told as seen."""
+        """Return the worker's report with the observed usage of its runs."""
         return placement.WorkerReported(
             self.name,
             self.incarnation,
@@ -111,8 +111,8 @@
         )
 
 
-class JobWorld:
-    """Hold the log, a leader and the truth about workers."""
+class JobSimulation:
+    """Simulate the log, a leader and workers."""
 
     def __init__(self) -> None:
         self.now_s: float = 0
@@ -120,7 +120,7 @@
         self.state = placement.PlacementState()
         self.core = _make_core(self.state)
         self._old_core = self.core
-        self.workers = {place[0]: TrueWorker(place[0]) for place in PLACES}
+        self.workers = {place[0]: SimulatedWorker(place[0]) for place in PLACES}
         self.proposals: list[placement.Command] = []
         self.asked: list[placement.AskWorker] = []
         self.asks: list[placement.AskWorker] = []
@@ -133,17 +133,17 @@
         self.core.step(placement.TermStarted(), 0)
 
     def set_teams(self, teams: tuple[placement.Team, ...]) -> None:
-        """Put shares and limits in force."""
+        """Commit the shares and limits of teams."""
         self.teams = teams
         self.commit(placement.commands.SetTeams('t', teams))
 
     def commit(self, command: placement.Command) -> None:
-        """Put a command into the log, and check that what is over stays so."""
+        """Append and apply a command; check that final states are kept."""
         self.log.append(command)
         placement.apply_command(self.state, command, len(self.log))
         for name, job in self.state.jobs.items():
             known = self.over.get(name, job.status)
-            assert job.status is known, 'A final job changed.'
+            assert job.status is known, 'The final status of a job changed.'
             if job.status in {
                 placement.JobStatus.cancelled,
                 placement.JobStatus.done,
@@ -152,20 +152,23 @@
                 self.over[name] = job.status
 
     def commit_all(self) -> None:
-        """Commit what was proposed."""
+        """Commit all pending proposals."""
         proposals = tuple(self.proposals)
         self.proposals.clear()
         for command in proposals:
             self.commit(command)
 
     def feed(self, event: placement.Event, *, is_kept: bool = True) -> None:
-        """Hand an event to the leader, and keep what it wants."""
+        """Pass an event to the leader and record its outputs."""
         if is_kept and isinstance(event, placement.WorkerReported):
             self.events.append(event)
         self._take(self.core.step(event, self.now_s))
 
     def change_leader(self, is_committed: bool) -> None:
-        """Start a leader from the image; the old one's proposals go or stay."""
+        """Start a new leader from a dump of the state.
+
+        The proposals of the old leader are committed or dropped.
+        """
         if is_committed:
             self.commit_all()
         self.proposals.clear()
@@ -174,13 +177,13 @@
         self.core = _make_core(self.state)
         self.core.step(placement.TermStarted(), self.now_s)
 
-    def wake_old_leader(self) -> None:
-        """Let a leader that missed its end ask for what it knew."""
+    def run_deposed_leader(self) -> None:
+        """Tick a deposed leader, which can send outdated requests."""
         for output in self._old_core.step(placement.Tick(), self.now_s):
             if isinstance(output, placement.AskWorker):
                 self.carry_out(output)
 
-    def live(
+    def advance(
         self,
         silent: Iterable[str] = (),
         *,
@@ -188,11 +191,11 @@
         is_commit_late: bool = False,
         step_s: float = 0.5,
     ) -> None:
-        """Let a step of time pass, in which some workers are cut off."""
+        """Advance by a step in which the silent workers are unreachable."""
         self.now_s = round(self.now_s + step_s, 3)
         for worker in self.workers.values():
             if worker.is_up and self.now_s >= worker.lease_until_s:
-                worker.lapse()
+                worker.restart()
             if worker.is_up and worker.name not in set(silent):
                 self._enter(worker.name)
                 self.feed(worker.report(self.now_s))
@@ -210,20 +213,20 @@
                 self.asks.append(ask)
 
     def carry_out(self, ask: placement.AskWorker) -> None:
-        """Carry a request to its worker, and check the truth."""
+        """Deliver a request to its worker and check the invariants."""
         self.asks.append(ask)
         self.workers[ask.worker].carry_out(ask, self.now_s)
         self.check()
 
     def finish(self, worker: str, outcome: placement.RunResult) -> None:
-        """Let all runs on a worker end."""
+        """End all runs on a worker; all fail if it is faulty."""
         one = self.workers[worker]
         for token in tuple(one.runs):
             failed = placement.RunResult.failed
             one.end(token, failed if one.is_bad else outcome)
 
     def check(self) -> None:
-        """Check what truly runs."""
+        """Check the running jobs against limits and capacities."""
         running = [
             ask
             for worker in self.workers.values()
@@ -236,20 +239,24 @@
             job = self.state.jobs[ask.job]
             if not job.may_overlap:
                 assert by_job[ask.job] == 1, 'A job runs twice at once.'
-            assert self.over.get(ask.job) is not CANCELLED, 'Not final.'
+            assert self.over.get(ask.job) is not CANCELLED, (
+                'A cancelled job runs.'
+            )
             used[job.team] += _get_taken(self, ask)
         for team in self.teams:
-            assert used[team.name] <= team.millicores_max, 'Limit passed.'
+            assert used[team.name] <= team.millicores_max, (
+                'Team limit exceeded.'
+            )
         for worker in self.workers.values():
             taken = sum(_get_taken(self, ask) for ask in worker.runs.values())
-            assert taken <= ROOM.millicores, 'A worker is overfull.'
+            assert taken <= ROOM.millicores, 'Capacity of a worker exceeded.'
 
     def submit(self, *requests: placement.commands.JobRequest) -> None:
-        """Take in jobs."""
+        """Commit the submission of jobs."""
         self.commit(placement.commands.SubmitJobs('s', requests))
 
     def get_workers(self, job: str) -> list[str]:
-        """Give the workers that truly run a job."""
+        """Return the names of the workers that are running a job."""
         return [
             worker.name
             for worker in self.workers.values()
@@ -302,7 +309,7 @@
 CANCELLED = placement.JobStatus.cancelled
 
 
-def _get_taken(world: JobWorld, ask: placement.AskWorker) -> int:
+def _get_taken(world: JobSimulation, ask: placement.AskWorker) -> int:
     run = world.state.runs.get(ask.token)
     size = run.size if run is not None and run.is_throttled else ask.size
     return size.millicores
--- a/tests/builders/lossy_relays.py
+++ b/tests/builders/lossy_relays.py
@@ -1,4 +1,4 @@
-"""A relay that can lose track of its connections, as a firewall does."""
+"""Relay that silently drops connections, as a stateful firewall may."""
 
 import asyncio
 import threading
@@ -9,7 +9,7 @@
 
 
 class Relay:
-    """Pass bytes on, until told to forget the connections that are open."""
+    """Forward bytes until told to drop the connections that are open."""
 
     def __init__(self, port: int) -> None:
         self.port = 0
@@ -21,17 +21,17 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Listen on a port of its own."""
+        """Start a thread that listens on a free port."""
         self._thread.start()
         self._is_listening.wait()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
 
     def forget(self) -> None:
-        """Swallow all on the connections that are open; new ones work."""
+        """Discard all bytes on open connections; new connections work."""
         self._forgotten = self.count
 
     def _run(self) -> None:
--- a/tests/builders/model_workers.py
+++ b/tests/builders/model_workers.py
@@ -1,4 +1,4 @@
-"""Model one worker, and the services that it meets."""
+"""Simulated worker, external policy service and instances."""
 
 from typing import Any, NamedTuple
 
@@ -22,17 +22,17 @@
 
 
 class ModelWorker:
-    """Do what a worker does, on a clock of its own that may be slow.
+    """Simulate a worker whose clock runs at ``rate``.
 
-    A dark one gets no orders; a mute one carries them out, and its answers
-    are lost.
+    With ``is_unreachable`` it receives no orders; with ``loses_responses`` it
+    executes orders, but its responses are lost.
     """
 
     def __init__(self, worker: Worker, rate: float = 1) -> None:
         self.worker = worker
         self.rate = rate
-        self.is_dark = False
-        self.is_mute = False
+        self.is_unreachable = False
+        self.loses_responses = False
         self.fence = 0
         self.expires_ms: float = 0
         self.running: dict[TaskKey, int] = {}
@@ -46,11 +46,11 @@
         self._position = 0
 
     def get_clock_ms(self, true_s: float) -> int:
-        """Give the worker's own time."""
+        """Return the time on the worker's clock."""
         return int(1_000_000 + true_s * self.rate * _MS)
 
-    def note_time(self, true_s: float) -> None:
-        """End what was told to stop, and all once the lease has ended."""
+    def advance_clock(self, true_s: float) -> None:
+        """End stopped runs that are due, and all runs after the lease."""
         for stopped, due_s in tuple(self.stopping.items()):
             if true_s >= due_s:
                 self.stopping.pop(stopped)
@@ -61,7 +61,7 @@
                 self.end(task, 'lapsed')
 
     def end(self, task: TaskKey, result: str, checkpoint: str = '') -> None:
-        """End a run and list its end."""
+        """End a run and queue its end for the next report."""
         self._position += 1
         number = self.running.pop(task)
         self.ends.append(
@@ -69,13 +69,13 @@
         )
 
     def carry_out(self, order: Any, true_s: float) -> Any:
-        """Carry out an order, and give the outcome and a body."""
-        self.note_time(true_s)
+        """Execute an order and return the outcome and a body."""
+        self.advance_clock(true_s)
         if order.fence < self.fence:
             return OrderOutcome.refused, 'fence'
         self.fence = order.fence
         if isinstance(order, PollWorker):
-            return OrderOutcome.done, self._look(order, true_s)
+            return OrderOutcome.done, self._poll(order, true_s)
         if isinstance(order, StartRun):
             return self._start(order, true_s)
         if isinstance(order, StopRun):
@@ -84,7 +84,7 @@
             self.paces[order.task] = order.percent
         return OrderOutcome.done, ''
 
-    def _look(self, order: PollWorker, true_s: float) -> WorkerReport:
+    def _poll(self, order: PollWorker, true_s: float) -> WorkerReport:
         self.expires_ms = max(self.expires_ms, order.expires_ms or 0)
         self.ends = [
             one for one in self.ends if one.position > order.acked_position
@@ -125,11 +125,11 @@
         if self.running.get(order.task) == order.number:
             due_s = true_s + self.stop_delay_s
             self.stopping.setdefault(order.task, due_s)
-            self.note_time(true_s)
+            self.advance_clock(true_s)
 
 
 class ModelPolicy:
-    """Allow some workers, one question after the other; may be silent."""
+    """Simulate the external policy service, which may be unavailable."""
 
     def __init__(self) -> None:
         self.allowed: set[str] = set()
@@ -137,7 +137,7 @@
         self.is_silent = False
 
     def answer(self, asked: RequestAdvice) -> AdviceAnswered:
-        """Give tickets for the workers that are allowed."""
+        """Return tickets for the allowed workers among those asked about."""
         tickets = tuple(
             Ticket(worker.name, f'{asked.step}@{worker.name}')
             for worker in asked.workers
@@ -146,8 +146,8 @@
         return AdviceAnswered(asked.step, tickets, not self.is_silent)
 
 
-class OrderSeen(NamedTuple):
-    """Hold when an order for an instance came, and under which token."""
+class ReceivedOrder(NamedTuple):
+    """An order for an instance, its fencing token and arrival time."""
 
     instance: str
     token: int
@@ -155,14 +155,14 @@
 
 
 class ModelInstances:
-    """Hold what instances were ordered, and which refuse, are down or off."""
+    """Record orders for instances and hold the condition of instances."""
 
     def __init__(self) -> None:
-        self.seen: list[OrderSeen] = []
-        self.upkeeps: list[str] = []
+        self.seen: list[ReceivedOrder] = []
+        self.maintenance_orders: list[str] = []
         self.moves: list[OrderMove] = []
         self.refused: set[str] = set()
         self.down: set[str] = set()
         self.standby: set[str] = set()
         self.away_until_s: dict[str, float] = {}
-        self.lost_lists = 0
+        self.lost_list_responses = 0
--- a/tests/builders/operators.py
+++ b/tests/builders/operators.py
@@ -1,4 +1,4 @@
-"""Control processes and entries that talk over streams in virtual time."""
+"""Simulated control processes and entries joined by streams."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 
 class Process:
-    """Hold one start of an entry, its clock and its stream."""
+    """Simulate one incarnation of an entry, its clock and its stream."""
 
     def __init__(
         self,
@@ -37,15 +37,15 @@
         self._clock_rate = clock_rate
 
     def get_time_s(self, now_s: float) -> float:
-        """Give this process's own clock."""
+        """Return the time on this process's clock."""
         return now_s * self._clock_rate
 
     def is_serving(self, now_s: float) -> bool:
-        """Tell whether a request would be taken now."""
+        """Check whether the entry would accept a request now."""
         return self.core.is_ready(self.get_time_s(now_s))
 
     def step(self, event: entry.EntryEvent, now_s: float) -> None:
-        """Feed the core, and queue what it sends."""
+        """Pass an event to the core and queue its messages."""
         outputs = self.core.step(event, self.get_time_s(now_s))
         if self.stream_id is not None:
             self.up.extend(
@@ -55,14 +55,14 @@
             )
 
     def take_next(self, now_s: float) -> None:
-        """Take the next message of the stream."""
+        """Receive the next message of the stream."""
         message = self.down.popleft()
         self.taken.append(message)
         self.step(entry.ControlReceived(message), now_s)
 
 
 class Leader:
-    """Hold a single voter and its log; the next one starts from the log."""
+    """Simulate a single voter, which can restart from its log."""
 
     def __init__(self) -> None:
         self.log: list[consensus.LogEntry] = []
@@ -72,7 +72,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start a process that knows the log and nothing else."""
+        """Start a control core from the stored log and hard state."""
         self.core = control.ControlCore(
             control.ControlSettings(
                 consensus.ReplicaSettings(
@@ -92,7 +92,7 @@
         event: control.ControlEvent,
         now_s: float,
     ) -> Iterable[control.SendToEntry]:
-        """Feed the core, keep its log, and give what it sends."""
+        """Pass an event to the core, store its log, return its messages."""
         sent = []
         for output in self.core.step(event, now_s):
             if isinstance(output, control.SendToEntry):
@@ -109,14 +109,14 @@
         return sent
 
     def get_keys(self, log_index: int) -> set[str]:
-        """Give the ids of the keys that the log grants at an index."""
+        """Return the ids of the keys in force at a log index."""
         while log_index not in self._keys_at:
             log_index -= 1
         return self._keys_at[log_index]
 
 
 class Cluster:
-    """Join a leader and entries by streams that tests cut and delay."""
+    """Connect a leader and entries by streams that can be cut or slow."""
 
     def __init__(self) -> None:
         self.now_s: float = 0
@@ -130,7 +130,7 @@
         return process
 
     def step_leader(self, event: control.ControlEvent) -> None:
-        """Feed the leader, and queue what it sends on the streams."""
+        """Pass an event to the leader and queue its messages on streams."""
         for output in self.leader.step(event, self.now_s):
             for process in self.processes:
                 if process.stream_id == output.stream_id:
@@ -141,7 +141,7 @@
         self.step_leader(control.CommandRequested(request_id, command, wall_s))
 
     def advance(self, duration_s: float, tick_s: float = TICK_S) -> None:
-        """Let time pass, with all that is not held up."""
+        """Advance the time and deliver messages on working streams."""
         end_s = self.now_s + duration_s
         while self.now_s < end_s:
             self.now_s = min(end_s, self.now_s + tick_s)
@@ -150,7 +150,7 @@
                 self._run(process)
 
     def cut(self, process: Process, keep: int = 0) -> None:
-        """End a stream; ``keep`` messages down were already taken in."""
+        """Disconnect an entry after delivering ``keep`` queued messages."""
         while process.down and keep > 0:
             process.take_next(self.now_s)
             keep -= 1
@@ -163,7 +163,7 @@
             self.step_leader(control.EntryDisconnected(stream_id))
 
     def replace_leader(self) -> None:
-        """Let the leader die, and another start from the log."""
+        """Drop all streams and start a new leader from the log."""
         for process in self.processes:
             process.stream_id = None
             process.up.clear()
@@ -205,7 +205,7 @@
 
 
 def get_answer(cluster: Cluster, request_id: int) -> Any:
-    """Give the answer to an operator's request, or nothing so far."""
+    """Return the answer to an operator's request, or None."""
     for one in cluster.leader.answers:
         if one.request_id == request_id:
             return one.answer
--- a/tests/builders/platform_fleets.py
+++ b/tests/builders/platform_fleets.py
@@ -1,4 +1,4 @@
-"""Real processes on the platform's protocol, with a worker of our own."""
+"""Processes that speak the platform's protocol, and a test worker."""
 
 import json
 import socket
@@ -25,7 +25,7 @@
 
 
 def make_config() -> dict[str, Any]:
-    """Give a configuration with one queue, one pool and one team."""
+    """Return a configuration with one queue, one pool and one team."""
     return {
         'version': 1,
         'routes': [
@@ -44,10 +44,10 @@
 
 
 class StandinWorker:
-    """Run tasks by the platform's protocol, each for its estimated time.
+    """Serve the platform's protocol and run each task for a fixed time.
 
-    It also answers for the policy of queues that ask one, with a ticket for
-    itself, and refuses their starts without it.
+    It also serves as the external policy service: it issues tickets for
+    itself and refuses a start without the ticket of its step.
     """
 
     def __init__(self, port: int, duration_s: float) -> None:
@@ -67,7 +67,7 @@
 
     @contextmanager
     def serve(self) -> Iterator[None]:
-        """Serve until the block is left."""
+        """Serve until the context exits."""
         thread = threading.Thread(target=self._server.serve_forever)
         thread.start()
         with self._server:
@@ -77,7 +77,7 @@
                 self._server.shutdown()
 
     def answer(self, path: str, body: dict[str, Any]) -> tuple[int, Any]:
-        """Carry out an order."""
+        """Execute an order and return the status code and body."""
         if path == '/advise':
             ticket = f'ticket for {body["step"]}'
             self.tickets[body['step']] = ticket
@@ -97,7 +97,7 @@
             return 200, {'wall_ms': self._get_clock_ms()}
 
     def describe(self, sequence: int) -> dict[str, Any]:
-        """Give what the worker says of itself."""
+        """Return the worker's announcement."""
         return {
             'service': 'booking',
             'addr': self.address,
@@ -147,13 +147,13 @@
 
 
 class _Handler(BaseHTTPRequestHandler):
-    """Pass orders to the worker."""
+    """Forward HTTP requests to the worker."""
 
     protocol_version = 'HTTP/1.1'
     server: _WorkerServer
 
     def do_POST(self) -> None:
-        """Answer an order."""
+        """Respond to an order."""
         length = int(self.headers['Content-Length'])
         body = json.loads(self.rfile.read(length))
         code, answer = self.server.worker.answer(self.path, body)
@@ -164,11 +164,11 @@
         self.wfile.write(content)
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Say nothing."""
+        """Suppress the access log."""
 
 
 class PlatformFleet:
-    """Run three control processes and an entry, and call them."""
+    """Manage three control processes, an entry and a worker."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -183,7 +183,7 @@
 
     @contextmanager
     def run(self) -> Iterator[None]:
-        """Run all until the block is left."""
+        """Run all processes until the context exits."""
         try:
             for host in (*_HOSTS, _ENTRY_HOST):
                 self.start(host)
@@ -194,12 +194,12 @@
 
     @contextmanager
     def hold_metrics_port(self) -> Iterator[None]:
-        """Take the entry's port for metrics until the block is left."""
+        """Occupy the entry's metrics port until the context exits."""
         with socket.create_server((_ENTRY_HOST, self._metrics)):
             yield
 
     def start(self, host: str) -> None:
-        """Start the process of a host."""
+        """Start the process of a host address."""
         self.processes.start(host, self._make_settings(host))
 
     def call(
@@ -211,7 +211,7 @@
         key: str = KEY,
         host: str = '',
     ) -> tuple[int, Any]:
-        """Send a request, to a control process where a host is given."""
+        """Send a request to the entry, or to the control process of a host."""
         port = self._operators if host else self._callers
         connection = HTTPConnection(host or _ENTRY_HOST, port, timeout=5)
         headers = {'Host': 'h.example', 'X-Api-Key': key}
@@ -225,7 +225,7 @@
         return answer.status, json.loads(found or b'null')
 
     def read_metrics(self, host: str) -> str:
-        """Give the metrics of a host's process as text."""
+        """Return the metrics of a host's process as text."""
         connection = HTTPConnection(host, self._metrics, timeout=5)
         try:
             connection.request('GET', '/metrics')
@@ -236,7 +236,7 @@
     def wait_for(
         self, code: int, method: str, path: str, **options: Any
     ) -> Any:
-        """Repeat a request until it is answered with the code."""
+        """Repeat a request until its response has the status code."""
         due_s = time.monotonic() + _WAIT_S
         seen: Any = None
         while time.monotonic() < due_s:
@@ -250,17 +250,17 @@
         raise TimeoutError(f'{method} {path}: {seen}')
 
     def wait_for_leader(self) -> str:
-        """Give the control process that leads, as soon as one says so."""
+        """Wait until a control process is leader, and return its host."""
         due_s = time.monotonic() + _WAIT_S
         while time.monotonic() < due_s:
             for host in self.get_controls():
                 if _LEADS in self.read_metrics(host):
                     return host
             time.sleep(_POLL_S)
-        raise TimeoutError('No control process leads.')
+        raise TimeoutError('No control process became leader.')
 
     def wait_for_state(self, path: str, state: str) -> None:
-        """Read a job until it is in the state."""
+        """Poll a job until it is in the state."""
         due_s = time.monotonic() + _WAIT_S
         while time.monotonic() < due_s:
             code, found = self.call('GET', path)
@@ -270,7 +270,7 @@
         raise TimeoutError(f'{path} is not {state}.')
 
     def get_controls(self) -> tuple[str, ...]:
-        """Give the hosts of the control processes."""
+        """Return the hosts of the control processes."""
         return _HOSTS
 
     def _make_settings(self, host: str) -> dict[str, Any]:
--- a/tests/builders/platform_processes.py
+++ b/tests/builders/platform_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of the platform's entry point, started and signalled."""
+"""Processes that run the platform's entry point."""
 
 import json
 import os
@@ -17,7 +17,7 @@
 
 
 class PlatformProcesses:
-    """Hold processes by name; each writes its log beside its settings."""
+    """Manage processes by name; logs are written beside their settings."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -25,7 +25,7 @@
 
     @property
     def ids(self) -> dict[str, int]:
-        """Give the ids of the processes that were started and not ended."""
+        """Return the process ids of running processes by name."""
         return {
             name: process.pid
             for name, process in tuple(self._processes.items())
@@ -43,28 +43,28 @@
             stderr=subprocess.STDOUT,
         )
         self._processes[name] = process
-        # By a pipe, so that a limit on the process's files spares its log.
+        # A pipe keeps the log outside the file size limit of the process.
         log = self.folder / f'{name}.log'
         threading.Thread(target=_copy, args=(process, log)).start()
 
     def stop(self, name: str, signal_number: int = signal.SIGTERM) -> int:
-        """Send a signal and wait for the end."""
+        """Send a signal, wait for the exit and return the exit code."""
         process = self._processes.pop(name)
         process.send_signal(signal_number)
         return process.wait(_WAIT_S)
 
     def send_signal(self, name: str, signal_number: int) -> None:
-        """Send a signal to a process that goes on."""
+        """Send a signal to a process without waiting."""
         self._processes[name].send_signal(signal_number)
 
     def kill_all(self) -> None:
-        """End what is left."""
+        """Kill all processes that are left."""
         for process in self._processes.values():
             process.kill()
             process.wait()
 
     def limit_files(self, name: str, size: int) -> None:
-        """Have writes beyond a size refused, as by a full disk."""
+        """Limit the file size of a process, to simulate a full disk."""
         resource.prlimit(
             self._processes[name].pid,
             resource.RLIMIT_FSIZE,
@@ -72,15 +72,15 @@
         )
 
     def list_ended(self) -> dict[str, int]:
-        """Give the processes that ended by themselves, with their codes."""
+        """Return the exit codes of processes that ended by themselves."""
         return {
             name: process.returncode
             for name, process in tuple(self._processes.items())
             if process.poll() is not None
         }
 
-    def has_hold_of(self, name: str, signal_number: int) -> bool:
-        """Tell whether a process ignores a signal or has a handler for it."""
+    def handles_signal(self, name: str, signal_number: int) -> bool:
+        """Check whether a process ignores or handles a signal."""
         status = Path(f'/proc/{self._processes[name].pid}/status').read_text()
         masks = [
             int(line.split()[1], _MASK_BASE)
@@ -90,21 +90,21 @@
         return any(mask >> (signal_number - 1) & 1 for mask in masks)
 
     def is_running(self, name: str) -> bool:
-        """Tell whether a process has not ended."""
+        """Check whether a process is running."""
         return self._processes[name].poll() is None
 
     def wait_for_log(self, name: str, text: str) -> None:
-        """Wait until a process has logged a text."""
+        """Wait until the log of a process contains a text."""
         due_s = time.monotonic() + _WAIT_S
         while time.monotonic() < due_s:
             if text in (self.folder / f'{name}.log').read_text():
                 return
             time.sleep(_POLL_S)
-        raise TimeoutError(f'{name} does not say {text!r}.')
+        raise TimeoutError(f'{text!r} is not in the log of {name}.')
 
 
 def _copy(process: subprocess.Popen[bytes], path: Path) -> None:
-    """Write what a process says to a file, until it ends."""
+    """Copy the output of a process to a file until it exits."""
     with path.open('ab', buffering=0) as log:
         for line in process.stdout or ():
             log.write(line)
--- a/tests/builders/processes.py
+++ b/tests/builders/processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback for tests."""
+"""Processes of a fleet on the loopback interface."""
 
 import os
 import signal
@@ -26,20 +26,20 @@
 _POLL_S = 0.05
 _LOG_SHOWN = 4000
 _PORTS = range(10_000, 32_000)
-# Tests that run side by side draw from parts of their own: a port is free
-# between its choice and the start of its process, and another test's fleet
-# would take it. The process then says that its address is in use.
+# Each parallel test worker has its own range of ports: a port stays free
+# between its choice and the start of its process, so another test could
+# choose it too, and the process would fail with "address in use".
 _PARTS = 16
 _PART_PORTS = len(_PORTS) // _PARTS
 _WORKER = int(os.environ.get('PYTEST_XDIST_WORKER', 'gw0').removeprefix('gw'))
 _FIRST_OWN = _PORTS[_WORKER % _PARTS * _PART_PORTS]
 _OWN_PORTS = range(_FIRST_OWN, _FIRST_OWN + _PART_PORTS)
-# For the same reason none is given twice before most of the part was given.
+# Recently chosen ports, which are not chosen again for the same reason.
 _given: deque[int] = deque(maxlen=_PART_PORTS // 2)
 
 
 class Fleet:
-    """Hold the processes of one test."""
+    """Manage the processes of one test."""
 
     def __init__(self, folder: Path, control_count: int, entry_count: int):
         self.folder = folder
@@ -60,28 +60,28 @@
             }
             for name in self.control_names
         ]
-        # What one control process dials instead of another's peer port.
+        # Relay ports that replace peer ports, by (from, to) process names.
         self.detours: dict[tuple[str, str], int] = {}
         self._entry_ports = dict(zip(self.entry_names, ports, strict=True))
 
     @property
     def controls(self) -> str:
-        """Give the operators' addresses as the command line takes them."""
+        """Return the operator addresses in command-line format."""
         return ','.join(
             f'127.0.0.1:{one["operator"]["port"]}' for one in self._controls
         )
 
     @property
     def entries(self) -> str:
-        """Give the callers' addresses."""
+        """Return the caller addresses of all entries."""
         return ','.join(map(self.get_entry, self.entry_names))
 
     def get_entry(self, name: str) -> str:
-        """Give the callers' address of an entry."""
+        """Return the caller address of an entry."""
         return f'127.0.0.1:{self._entry_ports[name]}'
 
     def add_entry(self, name: str) -> None:
-        """Find a port for one more entry."""
+        """Reserve a port for an additional entry."""
         self._entry_ports[name] = find_ports(1)[0]
 
     def start(self, name: str) -> None:
@@ -103,13 +103,13 @@
         self.run(name, 'sardinemast.daemon', str(path))
 
     def write_security(self, name: str, unit: str) -> dict[str, str]:
-        """Write a certificate, and give the settings that name it."""
+        """Write a certificate and return its security settings."""
         assert self.authority is not None
         security = write_certificate(self.folder, self.authority, name, unit)
         return {field: str(path) for field, path in security._asdict().items()}
 
     def get_peer_port(self, name: str) -> int:
-        """Give the port that a control process listens on for peers."""
+        """Return the peer port of a control process."""
         found = next(one for one in self._controls if one['name'] == name)
         return int(found['peer']['port'])
 
@@ -127,7 +127,7 @@
         )
 
     def run(self, name: str, module: str, *arguments: str) -> None:
-        """Start a module under a name."""
+        """Run a module as a process with this name."""
         with (self.folder / f'{name}.log').open('ab') as log:
             self.processes[name] = subprocess.Popen(
                 [sys.executable, '-m', module, *arguments],
@@ -141,7 +141,7 @@
             wait_for(partial(_is_serving, self.get_entry(name)))
 
     def kill(self, name: str) -> None:
-        """Kill a process with no chance to tidy up."""
+        """Kill a process without a graceful shutdown."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
@@ -151,7 +151,7 @@
         self.processes[name].send_signal(number)
 
     def print_logs(self) -> None:
-        """Print the end of each log, for a failure that may not come again."""
+        """Print the end of each log to help diagnose a failure."""
         for path in sorted(self.folder.glob('*.log')):
             shown = path.read_text()[-_LOG_SHOWN:]
             sys.stdout.write(f'--- {path.name}\n{shown}\n')
@@ -169,7 +169,7 @@
     authority: trustme.CA | None = None,
     prepare: Callable[[Fleet], None] | None = None,
 ) -> Iterator[Fleet]:
-    """Start control processes and entries, and stop all at the end."""
+    """Run control processes and entries, and kill them on exit."""
     fleet = Fleet(folder, control_count, entry_count)
     fleet.authority = authority
     if prepare is not None:
@@ -188,7 +188,7 @@
 
 
 def wait_for(action: Callable[[], Any]) -> Any:
-    """Repeat an action until it gives something true, or fail."""
+    """Retry an action until its result is true, or time out."""
     give_up_s = time.monotonic() + _PATIENCE_S
     while True:
         try:
@@ -199,7 +199,7 @@
             found = None
         if found:
             return found
-        assert time.monotonic() < give_up_s, 'Gave up waiting.'
+        assert time.monotonic() < give_up_s, 'Timed out.'
         time.sleep(_POLL_S)
 
 
@@ -209,7 +209,7 @@
     key: str = '',
     **options: Any,
 ) -> HTTPResponse:
-    """Send one request to an entry."""
+    """Send a request to an entry and return the response."""
     headers = {'Authorization': f'Bearer {key}', **options.pop('headers', {})}
     client = HTTPClient()
     try:
@@ -226,21 +226,21 @@
 
 
 def find_ports(count: int) -> list[int]:
-    """Give free ports that the system gives to nobody by itself.
+    """Return free ports outside the system's ephemeral range.
 
-    A port of the system's own range may go to any connection between this
-    call and the start of the process that it is meant for.
+    The system could assign an ephemeral port to another connection before
+    the process starts.
     """
     return [_draw_ports(1) for _ in range(count)]
 
 
 def find_port_pair() -> int:
-    """Give a free port behind which the next one is free too."""
+    """Return the first of two consecutive free ports."""
     return _draw_ports(2)
 
 
 def _draw_ports(count: int) -> int:
-    """Give the first of so many free ports in a row."""
+    """Return the first of ``count`` consecutive free ports."""
     while True:
         first = SystemRandom().choice(_OWN_PORTS[:-count])
         wanted = range(first, first + count)
--- a/tests/builders/relays.py
+++ b/tests/builders/relays.py
@@ -1,4 +1,4 @@
-"""Relays between control processes, to cut them off silently."""
+"""Relays between control processes that simulate network partitions."""
 
 import asyncio
 import threading
@@ -11,7 +11,7 @@
 
 
 class Relays:
-    """Hold a relay for each direction between two control processes."""
+    """Manage a relay for each ordered pair of control processes."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -20,7 +20,7 @@
         self._thread.start()
 
     def detour(self, fleet: Fleet) -> None:
-        """Lead all streams between control processes over relays."""
+        """Route all streams between control processes through relays."""
         for pair in permutations(fleet.control_names, 2):
             relay = Relay('127.0.0.1', fleet.get_peer_port(pair[1]))
             self._relays[pair] = relay
@@ -30,7 +30,7 @@
             ).result()
 
     def cut_from(self, name: str, *, is_cut: bool) -> None:
-        """Drop all that a process sends, or pass it again."""
+        """Drop all bytes that a process sends, or forward them again."""
         for (sender, receiver), relay in self._relays.items():
             if sender == name:
                 relay.drops_forward = is_cut
@@ -38,7 +38,7 @@
                 relay.drops_back = is_cut
 
     def cut_to(self, name: str, *, is_cut: bool) -> None:
-        """Drop all that others send to a process, or pass it again."""
+        """Drop all bytes sent to a process, or forward them again."""
         for (sender, receiver), relay in self._relays.items():
             if receiver == name:
                 relay.drops_forward = is_cut
@@ -54,7 +54,7 @@
 
 @contextmanager
 def run_relays() -> Iterator[Relays]:
-    """Run relays, and stop them at the end."""
+    """Run relays and stop them on exit."""
     relays = Relays()
     try:
         yield relays
--- a/tests/builders/replicas.py
+++ b/tests/builders/replicas.py
@@ -1,4 +1,4 @@
-"""Replicas with model disks, a bag of messages and an oracle of commands."""
+"""Simulated cluster of replicas that checks the consensus invariants."""
 
 from collections.abc import Iterator
 from random import Random
@@ -43,8 +43,8 @@
 _SPREAD = 0.4
 
 
-class Parcel(NamedTuple):
-    """Hold a message on its way."""
+class Envelope(NamedTuple):
+    """A message in flight."""
 
     to: str
     sender: str
@@ -53,7 +53,7 @@
 
 
 class Disk:
-    """Hold what a replica has synced."""
+    """The synced state of a replica."""
 
     def __init__(self, folder: FolderIdentity) -> None:
         self.folder = folder
@@ -63,7 +63,7 @@
 
     @property
     def configuration(self) -> Configuration:
-        """Give the newest configuration."""
+        """Return the latest configuration."""
         found = Configuration('', ())
         if self.snapshot:
             found = self.snapshot.configuration
@@ -72,7 +72,7 @@
         return found
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
-        """Cut from the first entry's index on, and append."""
+        """Truncate the log at the index of the first entry, then append."""
         if entries:
             base = self.snapshot.last_index if self.snapshot else 0
             del self.entries[entries[0].log_index - base - 1 :]
@@ -80,14 +80,14 @@
 
 
 class _NarrowRandom(Random):
-    """Bring the replicas' elections close together."""
+    """Narrow the random election timeouts, so that elections collide."""
 
     def random(self) -> float:
         return _SPREAD * super().random()
 
 
 class Node:
-    """Run one replica on a clock with a rate of its own."""
+    """Simulate a replica process with its disk and its clock rate."""
 
     def __init__(self, name: str, names: tuple[str, ...], rate: float) -> None:
         self.settings = ReplicaSettings(
@@ -112,20 +112,20 @@
 
     @property
     def term(self) -> int:
-        """Give the synced term."""
+        """Return the synced term."""
         return self.disk.hard_state.term
 
     @property
     def name(self) -> str:
-        """Give the name of the process."""
+        """Return the name of the process."""
         return self.settings.name
 
     def get_local_s(self, true_s: float) -> float:
-        """Give the time on this replica's clock."""
+        """Return the time on the replica's clock."""
         return 1000 * self.rate + true_s * self.rate
 
     def start(self) -> None:
-        """Start from what the disk holds."""
+        """Start the replica from its disk."""
         self.starts += 1
         self.kill_in = None
         self.frozen_until_s = 0
@@ -140,28 +140,28 @@
         self.restore(self.disk.snapshot)
 
     def crash(self) -> None:
-        """Lose all that is only in memory."""
+        """Crash, and lose the state in memory."""
         self.replica = None
         self.proposed.clear()
 
     def lose_folder(self, *, may_found: bool) -> None:
-        """Start again with an empty folder."""
+        """Crash, and restart with an empty data folder."""
         self.crash()
         self.disk = Disk(self._make_folder()._replace(may_found=may_found))
         self.start()
 
-    def put_backup_back(self) -> None:
-        """Start with an old copy, which the seal tells from the original."""
+    def restore_backup(self) -> None:
+        """Restart as after a restored backup, whose folder is replaced."""
         self.lose_folder(may_found=False)
 
     def restore(self, snapshot: Snapshot | None) -> None:
-        """Take the state from a snapshot."""
+        """Restore the applied state from a snapshot."""
         self.applied_index = snapshot.last_index if snapshot else 0
         self.applied_term = snapshot.last_term if snapshot else 0
         self.image = snapshot.image if snapshot else b''
 
     def apply(self, entry: LogEntry) -> None:
-        """Apply an entry to the state."""
+        """Apply a log entry to the state."""
         assert entry.log_index == self.applied_index + 1
         self.applied_index = entry.log_index
         self.applied_term = entry.term
@@ -173,13 +173,13 @@
         return FolderIdentity(f'{self.name}#{self.folders}')
 
 
-def is_no_leader(node: Node) -> bool:
-    """Tell whether a node takes itself for no leader, as a sort key."""
+def is_not_leader(node: Node) -> bool:
+    """Check whether a node does not consider itself leader (a sort key)."""
     return node.replica is None or node.replica.role is not Role.leader
 
 
 class Cluster:
-    """Hold replicas, messages on their way and what was acknowledged."""
+    """Simulate replicas and their network, and check safety invariants."""
 
     def __init__(self, count: int, rates: tuple[float, ...] = (1.0,)) -> None:
         names = tuple(f'control-{number}' for number in range(1, count + 1))
@@ -189,7 +189,7 @@
         }
         self.names = names
         self.true_s: float = 0
-        self.bag: list[Parcel] = []
+        self.in_flight: list[Envelope] = []
         self.cuts: set[tuple[str, str]] = set()
         self.committed: dict[int, LogEntry] = {}
         self.images: dict[int, bytes] = {}
@@ -200,13 +200,13 @@
             node.start()
 
     def open(self, voters_max: int) -> None:
-        """Let replicas of any name join, up to so many voters."""
+        """Restart all nodes with a limit that lets new voters join."""
         for node in self.nodes.values():
             node.settings = node.settings._replace(voters_max=voters_max)
             node.start()
 
     def add(self, name: str, voters_max: int) -> Node:
-        """Start a replica that only knows the founders."""
+        """Start a replica that knows only the names of the founders."""
         node = Node(name, self.names, 1)
         node.settings = node.settings._replace(voters_max=voters_max)
         node.disk = Disk(node.disk.folder._replace(may_found=False))
@@ -215,27 +215,27 @@
         return node
 
     def get_voters(self) -> set[str]:
-        """Give the names of the voters, as the leader has them."""
+        """Return the voters in the leader's configuration."""
         for node in self.nodes.values():
             if node.replica and node.replica.role is Role.leader:
                 members = node.disk.configuration.members
                 return {one.name for one in members if one.is_voter}
         return set()
 
-    def get_awake(self) -> Iterator[Node]:
-        """Give the nodes that run and are not frozen."""
+    def get_running_nodes(self) -> Iterator[Node]:
+        """Yield the nodes that run and are not frozen."""
         for node in self.nodes.values():
             if node.replica and node.frozen_until_s <= self.true_s:
                 yield node
 
     def feed(self, node: Node, event: Event) -> None:
-        """Feed an event to a node and carry out what it says."""
+        """Pass an event to a node and execute its outputs."""
         if node.replica is None:
             return
         outputs = node.replica.step(event, node.get_local_s(self.true_s))
         for output in outputs:
             if node.kill_in == 0:
-                self._tear(node, output)
+                self._write_partially(node, output)
                 node.crash()
                 break
             if node.kill_in is not None:
@@ -244,61 +244,61 @@
         self.check_leases()
 
     def tick(self) -> None:
-        """Let all nodes notice that time has passed."""
+        """Advance the time by one step and tick all running nodes."""
         self.true_s += STEP_S
-        for node in tuple(self.get_awake()):
+        for node in tuple(self.get_running_nodes()):
             self.feed(node, Tick())
 
     def deliver(self, position: int) -> None:
-        """Deliver one message, unless its receiver sleeps."""
-        parcel = self.bag[position]
-        node = self.nodes[parcel.to]
+        """Deliver one message, unless its recipient is frozen."""
+        envelope = self.in_flight[position]
+        node = self.nodes[envelope.to]
         if node.frozen_until_s > self.true_s:
             return
-        del self.bag[position]
+        del self.in_flight[position]
         self.feed(
             node,
-            MessageReceived(parcel.sender, parcel.message, parcel.route),
+            MessageReceived(envelope.sender, envelope.message, envelope.route),
         )
 
     def deliver_all(self) -> None:
-        """Deliver what is in the bag now, in order."""
-        parcels = self.bag
-        self.bag = []
-        for parcel in parcels:
-            self.bag.append(parcel)
-            self.deliver(len(self.bag) - 1)
+        """Deliver the messages now in flight, in order."""
+        envelopes = self.in_flight
+        self.in_flight = []
+        for envelope in envelopes:
+            self.in_flight.append(envelope)
+            self.deliver(len(self.in_flight) - 1)
 
     def run(self, steps: int) -> None:
-        """Let time pass with all messages delivered at once."""
+        """Run steps in which each message is delivered at once."""
         for _ in range(steps):
             self.tick()
             self.deliver_all()
 
     def propose(self, padding: bytes = b'') -> None:
-        """Propose a command at each node that takes itself for the leader."""
+        """Propose a command at each running node."""
         self._proposal_count += 1
         payload = b'%d%s' % (self._proposal_count, padding)
-        for node in tuple(self.get_awake()):
+        for node in tuple(self.get_running_nodes()):
             self.feed(node, CommandProposed(self._proposal_count, payload))
 
     def snapshot(self, node: Node) -> None:
-        """Put a snapshot in place of what the node has applied."""
+        """Compact the applied log of a node into a snapshot."""
         self.feed(node, SnapshotTaken(node.applied_index, node.image))
 
-    def ask_repair(self, name: str) -> None:
-        """Have an operator ask for a replica's folder to be replaced."""
-        for node in tuple(self.get_awake()):
+    def request_repair(self, name: str) -> None:
+        """Request the replacement of a replica's folder at each node."""
+        for node in tuple(self.get_running_nodes()):
             self.feed(node, RepairRequested(0, name))
 
-    def may_lose(self, node: Node) -> bool:
-        """Tell whether a majority of each configuration keeps its folder."""
+    def can_lose_folder(self, node: Node) -> bool:
+        """Check that each configuration keeps a majority without the node."""
         if not self.acknowledged_index:
             return False
         retiring = {
-            parcel.route.recipient
-            for parcel in self.bag
-            if isinstance(parcel.message, RetireRequest)
+            envelope.route.recipient
+            for envelope in self.in_flight
+            if isinstance(envelope.message, RetireRequest)
         }
         kept = {
             one.disk.folder.identity
@@ -313,7 +313,7 @@
         return True
 
     def check_leases(self) -> None:
-        """Check that one leader at most serves, and from the whole state."""
+        """Check that a valid lease excludes newer leaders and stale reads."""
         leaders = [
             node
             for node in self.nodes.values()
@@ -322,13 +322,17 @@
         serving = [node for node in leaders if self._has_lease(node)]
         for node in serving:
             for other in leaders:
-                assert other.term <= node.term, 'A leader beside a lease'
+                assert other.term <= node.term, (
+                    'Newer leader while a lease is valid'
+                )
             if self._is_ready(node):
                 index = node.applied_index
-                assert index >= self.acknowledged_index, 'Stale lease read'
+                assert index >= self.acknowledged_index, (
+                    'Lease read misses acknowledged entries'
+                )
 
     def settle(self) -> None:
-        """Mend all and check that the replicas agree and serve again."""
+        """Remove all faults and check that the replicas converge."""
         self.cuts.clear()
         for node in self.nodes.values():
             node.frozen_until_s = 0
@@ -337,19 +341,19 @@
                 node.start()
         for _ in range(_PATIENCE):
             self.run(_SETTLE_STEPS)
-            if self._is_whole():
+            if self._has_converged():
                 return
-        raise AssertionError(f'Not whole again: {self.describe()}')
+        raise AssertionError(f'No convergence: {self.describe()}')
 
     def describe(self) -> list[str]:
-        """Give a line for each node."""
+        """Return one line of state for each node."""
         return [
             f'{node.name} {node.replica and node.replica.role}'
             f' {node.applied_index} {node.disk.configuration}'
             for node in self.nodes.values()
         ]
 
-    def _is_whole(self) -> bool:
+    def _has_converged(self) -> bool:
         self.propose()
         self.run(_AGREE_STEPS)
         last = max(self.committed, default=0)
@@ -368,8 +372,8 @@
     def _is_ready(self, node: Node) -> bool:
         return bool(node.replica and node.applied_term == node.replica.term)
 
-    def _tear(self, node: Node, output: Output) -> None:
-        # The write was under way: a prefix of it may have reached the disk.
+    def _write_partially(self, node: Node, output: Output) -> None:
+        # A crash during a write may leave a prefix of it on disk.
         if isinstance(output, AppendToLog):
             kept = len(output.entries) * (node.starts % 2) // 2
             node.disk.append(output.entries[:kept])
@@ -377,15 +381,15 @@
     def _execute(self, node: Node, output: Output) -> None:
         if isinstance(output, SendMessage):
             if (node.name, output.to) not in self.cuts:
-                self.bag.append(
-                    Parcel(output.to, node.name, output.message, output.route)
+                self.in_flight.append(
+                    Envelope(output.to, node.name, output.message, output.route)
                 )
         elif isinstance(output, SaveHardState):
             node.disk.hard_state = output.hard_state
         elif isinstance(output, AppendToLog):
             node.disk.append(output.entries)
         elif isinstance(output, RoleChanged):
-            self._note_role(node, output)
+            self._record_role(node, output)
         elif isinstance(output, SaveSnapshot):
             node.disk.snapshot = output.snapshot
             node.disk.entries = list(output.entries)
@@ -400,14 +404,14 @@
             place = (output.log_index, output.term)
             node.proposed[place] = b'%d' % output.proposal_id
 
-    def _note_role(self, node: Node, changed: RoleChanged) -> None:
+    def _record_role(self, node: Node, changed: RoleChanged) -> None:
         if changed.role is Role.leader:
             known = self.leaders.setdefault(changed.term, node.name)
-            assert known == node.name, 'Two leaders in a term'
+            assert known == node.name, 'Two leaders in one term'
 
     def _apply(self, node: Node, entry: LogEntry) -> None:
         known = self.committed.setdefault(entry.log_index, entry)
-        assert known == entry, f'Replaced: {known} by {entry}'
+        assert known == entry, f'Committed {known} replaced by {entry}'
         node.apply(entry)
         self._check_image(node)
         payload = node.proposed.pop((entry.log_index, entry.term), None)
--- a/tests/builders/teams.py
+++ b/tests/builders/teams.py
@@ -1,4 +1,4 @@
-"""Control processes and entries that share one team's limit."""
+"""Simulated control processes and entries that enforce a team's limit."""
 
 from collections import deque
 from random import Random
@@ -24,7 +24,7 @@
 
 
 def make_limit_document(limit: int, run_bound_s: float = 5) -> FleetDocument:
-    """Make a document whose only team has the limit."""
+    """Return a document whose only team has the limit."""
     return FleetDocument(
         sites={'rennes': Site('rennes', 'brittany')},
         pools={POOL: Pool(POOL, slots=8, run_bound_s=run_bound_s)},
@@ -34,9 +34,10 @@
 
 
 class Controls:
-    """Hold three control cores; messages between them flow unless held.
+    """Simulate three control cores and deliver messages between them.
 
-    Their times are long, so that a test may advance in steps of a second.
+    While ``is_held``, messages are queued. Timeouts are long enough for a
+    test to advance in steps of a second.
     """
 
     def __init__(self) -> None:
@@ -58,26 +59,26 @@
         self._mail: deque[tuple[str, control.PeerMessageReceived]] = deque()
 
     def get_leader(self, now_s: float) -> str:
-        """Give the process that answers now, or an empty name."""
+        """Return the name of the leader, or an empty string."""
         for name, core in self.cores.items():
             if name not in self.frozen and core.is_leader(now_s):
                 return name
         return ''
 
     def step(self, name: str, event: Any, now_s: float) -> None:
-        """Feed one core, and deliver what the cores tell each other."""
+        """Pass an event to one core, then deliver messages between cores."""
         if name in self.frozen:
             return
         self._take(name, self.cores[name].step(event, now_s))
         self.deliver(now_s)
 
     def tick(self, now_s: float) -> None:
-        """Let time pass at all that are not frozen."""
+        """Tick all cores that are not frozen."""
         for name in _NAMES:
             self.step(name, control.Tick(), now_s)
 
     def deliver(self, now_s: float) -> None:
-        """Deliver messages between the cores until none is left."""
+        """Deliver messages between cores until the queue is empty."""
         while self._mail and not self.is_held:
             name, event = self._mail.popleft()
             if name not in self.frozen:
@@ -95,7 +96,7 @@
 
 
 class Stream:
-    """Hold what is on its way between an entry and a control process."""
+    """Messages in flight between an entry and a control process."""
 
     def __init__(self, stream_id: int, control_name: str) -> None:
         self.stream_id = stream_id
@@ -105,7 +106,7 @@
 
 
 class Work(NamedTuple):
-    """Hold a request that an upstream truly runs."""
+    """A request that an upstream is running."""
 
     node: 'Node'
     request_id: int
@@ -114,7 +115,7 @@
 
 
 class Node:
-    """Hold one incarnation of an entry and its stream."""
+    """Simulate one incarnation of an entry and its stream."""
 
     def __init__(self, name: str, incarnation: int) -> None:
         self.name = name
@@ -126,15 +127,15 @@
         self.is_frozen = False
 
     def step(self, event: Any, now_s: float) -> list[entry.EntryOutput]:
-        """Feed the core, and put its messages on the stream."""
+        """Pass an event to the core and queue its messages on the stream."""
         outputs = self.core.step(event, now_s)
         for output in outputs:
             if isinstance(output, entry.SendToControl) and self.stream:
                 self.stream.up.append(output.message)
         return outputs
 
-    def take_down(self, now_s: float) -> list[entry.EntryOutput]:
-        """Take one message of the control process."""
+    def receive_from_control(self, now_s: float) -> list[entry.EntryOutput]:
+        """Receive one message from the control process."""
         assert self.stream is not None
         message = self.stream.down.popleft()
         if isinstance(message, NotLeader):
@@ -144,7 +145,7 @@
 
 
 def make_setup_commands(limit: int) -> tuple[Any, ...]:
-    """Make the commands that put the document, a key and an instance in."""
+    """Return commands that add the document, a key and an instance."""
     return (
         ApplyDocument('c1', 0, make_limit_document(limit)),
         GrantKey('c2', 'k1', TEAM, KEY_DIGEST),
@@ -153,7 +154,7 @@
 
 
 def make_serving_upstream() -> Announcement:
-    """Make the announcement of the upstream that runs all work."""
+    """Return the announcement of the only upstream."""
     return Announcement(
         'enrol-1', 1, POOL, '127.0.0.1', 9001, 'rennes', 'rack-1'
     )
--- a/tests/builders/upstreams.py
+++ b/tests/builders/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that play a script byte by byte."""
+"""Scripted upstreams that control each byte of a response."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable, Mapping
@@ -21,7 +21,7 @@
 
 @asynccontextmanager
 async def run_script(play: Play) -> AsyncIterator[Announcement]:
-    """Serve connections by a script, which gets the connection's number."""
+    """Serve each connection by a script, called with its number."""
     count = 0
 
     async def accept(
@@ -43,7 +43,7 @@
 
 
 def answer_with(*answers: bytes) -> Play:
-    """Give the answers in turn on each connection, then close it."""
+    """Return a script that sends the responses in turn, then closes."""
 
     async def play(
         reader: asyncio.StreamReader,
@@ -59,7 +59,7 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> bytes:
-    """Read one request, and give it whole."""
+    """Read and return one whole request."""
     head = await reader.readuntil(b'\r\n\r\n')
     for line in head.lower().split(b'\r\n'):
         if line.startswith(b'content-length:'):
@@ -72,7 +72,7 @@
     body: bytes = b'seat',
     headers: Mapping[str, str] | None = None,
 ) -> CallerRequest:
-    """Make a caller's request."""
+    """Return a caller's request."""
     return CallerRequest(
         method,
         '/enrolment/book',
@@ -89,5 +89,5 @@
     is_repeatable: bool = False,
     connection_limit: int = 64,
 ) -> StartAttempt:
-    """Make the order to send a request."""
+    """Return an output that starts an attempt."""
     return StartAttempt(1, upstream, timeout_s, is_repeatable, connection_limit)
--- a/tests/builders/waves.py
+++ b/tests/builders/waves.py
@@ -1,4 +1,4 @@
-"""Fleets for waves, and the truth that the cores can't see."""
+"""Simulated fleet that checks the invariants of maintenance waves."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -43,15 +43,15 @@
 
 
 class Work(NamedTuple):
-    """Hold work that runs at an instance until its end is known."""
+    """Work that an entry started on an instance."""
 
     run: maintenance.EntryRun
     pool: str
     end_s: float
 
 
-class TrueInstance:
-    """Hold what an instance truly is."""
+class SimulatedInstance:
+    """Simulate an instance and its actual state."""
 
     def __init__(self, name: str, pool: str) -> None:
         self.name = name
@@ -66,19 +66,19 @@
         self.rebooted_by: dict[int, int] = {}
 
     def get_work(self, now_s: float) -> list[Work]:
-        """Give the work that still runs."""
+        """Return the work that is still running."""
         self.work = [one for one in self.work if one.end_s > now_s]
         return self.work
 
     def restart(self) -> None:
-        """Lose all work and come back, or not."""
+        """Drop all work and restart; stay down unless ``returns``."""
         self.work.clear()
         self.incarnation += 1
         self.is_up = self.returns
         self.is_draining = False
 
-    def tell(self) -> maintenance.InstanceReported:
-        """Say what the instance says of itself."""
+    def make_report(self) -> maintenance.InstanceReported:
+        """Return the instance's report."""
         return maintenance.InstanceReported(
             self.name,
             self.incarnation,
@@ -87,7 +87,7 @@
         )
 
     def carry_out(self, request: maintenance.AskPlatform) -> None:
-        """Do what the platform is asked, once for each request id."""
+        """Execute a platform request once per id; ignore outdated fences."""
         if request.request_id in self.done or request.fence < self.fence:
             return
         self.done.add(request.request_id)
@@ -101,8 +101,8 @@
             )
 
 
-class TrueEntry:
-    """Hold an entry: the state it has applied and its lease."""
+class SimulatedEntry:
+    """Simulate an entry with its applied state and its lease."""
 
     def __init__(self, name: str, incarnation: int) -> None:
         self.run = maintenance.EntryRun(name, incarnation)
@@ -112,7 +112,7 @@
         self.is_alive = True
 
     def may_send(self, name: str, now_s: float) -> bool:
-        """Tell whether the entry would send work to the instance."""
+        """Check whether the entry would send work to the instance."""
         known = self.state.instances.get(name)
         if known is None or not self.is_alive or now_s >= self.lease_until_s:
             return False
@@ -123,7 +123,7 @@
 
 
 class Record:
-    """Hold what went between the leader and the rest."""
+    """Requests, events and reports exchanged with the leader."""
 
     def __init__(self) -> None:
         self.requests: list[maintenance.AskPlatform] = []
@@ -131,8 +131,8 @@
         self.reports: list[maintenance.Report] = []
 
 
-class World:
-    """Hold the log, a leader and the truth about instances and entries."""
+class WaveSimulation:
+    """Simulate the log, a leader, instances and entries."""
 
     def __init__(self) -> None:
         self.now_s: float = 0
@@ -141,10 +141,13 @@
         self.core = _make_core(self.state)
         self.old_core = self.core
         self.instances = {
-            name: TrueInstance(name, pool) for name, _, _, pool in PLACES
+            name: SimulatedInstance(name, pool) for name, _, _, pool in PLACES
         }
-        self.entries = [TrueEntry('entry-1', 1), TrueEntry('entry-2', 1)]
-        self.gone: list[TrueEntry] = []
+        self.entries = [
+            SimulatedEntry('entry-1', 1),
+            SimulatedEntry('entry-2', 1),
+        ]
+        self.gone: list[SimulatedEntry] = []
         self.proposals: list[maintenance.Command] = []
         self.asked: list[maintenance.AskPlatform] = []
         self.record = Record()
@@ -161,7 +164,7 @@
     def commit(
         self, command: maintenance.Command
     ) -> maintenance.Refusal | None:
-        """Put a command into the log and check what it did."""
+        """Append and apply a command, and check each changed instance."""
         before = dict(self.state.instances)
         self.log.append(command)
         refusal = maintenance.apply_command(self.state, command, len(self.log))
@@ -171,14 +174,14 @@
         return refusal
 
     def commit_all(self) -> None:
-        """Commit what was proposed."""
+        """Commit all pending proposals."""
         proposals = tuple(self.proposals)
         self.proposals.clear()
         for command in proposals:
             self.commit(command)
 
     def feed(self, *events: maintenance.Event) -> None:
-        """Hand events to the leader, and keep what it wants."""
+        """Pass events to the leader and record its outputs."""
         for event in events:
             if not isinstance(event, maintenance.Tick):
                 self.record.events.append(event)
@@ -191,7 +194,10 @@
                     self.record.reports.append(output)
 
     def change_leader(self, is_committed: bool) -> None:
-        """Start a leader from the image; the old one's proposals go or stay."""
+        """Start a new leader from a dump of the state.
+
+        The proposals of the old leader are committed or dropped.
+        """
         if is_committed:
             self.commit_all()
         self.proposals.clear()
@@ -200,14 +206,14 @@
         self.core = _make_core(self.state)
         self.core.step(maintenance.TermStarted(), self.now_s)
 
-    def wake_old_leader(self) -> None:
-        """Let a leader that missed its end act; it can commit nothing."""
+    def run_deposed_leader(self) -> None:
+        """Tick a deposed leader, which can send requests but not commit."""
         wall_s = WALL_S + self.now_s
         for output in self.old_core.step(maintenance.Tick(wall_s), self.now_s):
             if isinstance(output, maintenance.AskPlatform):
                 self.carry_out(output)
 
-    def live(
+    def advance(
         self,
         silent: Iterable[str] = (),
         lagging: Iterable[str] = (),
@@ -216,7 +222,10 @@
         is_answer_lost: bool = False,
         is_commit_late: bool = False,
     ) -> None:
-        """Let one second pass, in which some are silent and some lag."""
+        """Advance by a second.
+
+        Silent instances send no report; lagging entries do not renew.
+        """
         self.now_s += 1
         self._report_instances(set(silent))
         for entry in self.entries:
@@ -237,24 +246,26 @@
                     self.feed(maintenance.PlatformAnswered(request.request_id))
 
     def carry_out(self, request: maintenance.AskPlatform) -> None:
-        """Let the platform act, and check that it cuts nothing."""
+        """Execute a platform request and check that no work is interrupted."""
         self.record.requests.append(request)
         instance = self.instances[request.instance]
         is_reboot = request.action is maintenance.PlatformAction.reboot
         is_fresh = request.request_id not in instance.done
         if is_reboot and is_fresh and request.fence >= instance.fence:
-            assert not instance.get_work(self.now_s), 'A reboot cuts work.'
+            assert not instance.get_work(self.now_s), (
+                'A reboot interrupts work.'
+            )
             for entry in self.entries:
                 assert not entry.may_send(instance.name, self.now_s)
         instance.carry_out(request)
 
-    def renew(self, entry: TrueEntry) -> None:
-        """Let an entry catch up, renew its lease and report."""
+    def renew(self, entry: SimulatedEntry) -> None:
+        """Let an entry apply the log, report and renew its lease."""
         if not entry.is_alive:
             return
         if not self.core.may_lease(entry.run):
             self.commit(maintenance.commands.NoteEntry(entry.run))
-        # The log's order: the entry has applied what stood before its lease.
+        # An entry applies all log entries before its lease is renewed.
         fresh = self.log[entry.applied :]
         for index, command in enumerate(fresh, start=entry.applied + 1):
             maintenance.apply_command(entry.state, command, index)
@@ -263,8 +274,8 @@
         if self.core.may_lease(entry.run):
             entry.lease_until_s = self.now_s + LEASE_S
 
-    def report(self, entry: TrueEntry) -> None:
-        """Let an entry report by the state that it has."""
+    def report(self, entry: SimulatedEntry) -> None:
+        """Report the instances on which the entry has running work."""
         busy = frozenset(
             one.name
             for one in self.instances.values()
@@ -272,31 +283,33 @@
         )
         self.feed(maintenance.DrainsReported(entry.run, entry.applied, busy))
 
-    def send(self, entry: TrueEntry, name: str, duration_s: float) -> None:
-        """Let an entry start work where its state lets it."""
+    def send(self, entry: SimulatedEntry, name: str, duration_s: float) -> None:
+        """Let an entry start work on an instance if its state allows."""
         if not entry.may_send(name, self.now_s):
             return
         instance = self.instances[name]
         pool = entry.state.instances[name].pool
         running = instance.get_work(self.now_s)
-        assert all(work.pool == pool for work in running), 'Two pools.'
+        assert all(work.pool == pool for work in running), (
+            'Work of two pools on one instance.'
+        )
         if instance.is_up:
             end_s = self.now_s + min(duration_s, WORK_BOUND_S)
             instance.work.append(Work(entry.run, pool, end_s))
 
     def start_wave(self, plan: maintenance.WavePlan = PLAN) -> None:
-        """Start a wave."""
+        """Commit the start of a wave."""
         self.commit(
             maintenance.commands.StartWave('s', plan, WALL_S + self.now_s)
         )
 
     def restart_entry(self, number: int) -> None:
-        """Kill an entry; its work runs on, and a new run takes its place."""
+        """Replace an entry by a new incarnation; its work keeps running."""
         old = self.entries[number]
         old.is_alive = False
         self.gone.append(old)
         run = old.run
-        self.entries[number] = TrueEntry(run.entry, run.incarnation + 1)
+        self.entries[number] = SimulatedEntry(run.entry, run.incarnation + 1)
 
     def _step(self, event: maintenance.Event) -> list[maintenance.Output]:
         if self.session is not None and isinstance(event, maintenance.Tick):
@@ -322,7 +335,7 @@
         for one in self.instances.values():
             if one.is_up and one.name not in silent:
                 one.pool = self.state.instances[one.name].pool
-                told.append(one.tell())
+                told.append(one.make_report())
         self.feed(maintenance.InstancesReported(tuple(told)))
 
     def _end_leases(self) -> None:
@@ -351,7 +364,9 @@
 
     def _check_move(self, before: maintenance.Instance) -> None:
         one = self.instances[before.name]
-        assert not one.get_work(self.now_s), 'A move leaves work behind.'
+        assert not one.get_work(self.now_s), (
+            'Pool changed while work is running.'
+        )
         for entry in self.entries:
             assert not entry.may_send(one.name, self.now_s)
 
@@ -361,8 +376,10 @@
         if before.condition is maintenance.Condition.returning and before.step:
             one = self.instances[before.name]
             rebooted = one.rebooted_by.get(before.step.log_index)
-            assert rebooted is not None, 'Returned before the reboot.'
-            assert after.incarnation > rebooted, 'Proved by an old run.'
+            assert rebooted is not None, 'Returned without a reboot.'
+            assert after.incarnation > rebooted, (
+                'Proved by an incarnation before the reboot.'
+            )
 
 
 def _make_core(
@@ -374,7 +391,7 @@
 def check_budgets(
     state: maintenance.MaintenanceState, taken: maintenance.Instance
 ) -> None:
-    """Count the whole fleet by hand after a planned step on an instance."""
+    """Check all budgets independently after a step on an instance."""
     of_pool = [
         one for one in state.instances.values() if one.pool == taken.pool
     ]
@@ -393,8 +410,10 @@
     reserve = max(map(racks.count, racks), default=0)
     if budget.reserve is None:
         reserve = 0
-    assert len(down) + reserve <= budget.down_max, 'Pool budget passed.'
-    assert len(up) - reserve >= budget.serving_min, 'Too few serve.'
+    assert len(down) + reserve <= budget.down_max, 'Pool budget exceeded.'
+    assert len(up) - reserve >= budget.serving_min, (
+        'Too few instances are serving.'
+    )
     near = [
         one
         for one in state.instances.values()
@@ -403,4 +422,4 @@
         and (one.pool, one.condition)
         != ('spare', maintenance.Condition.set_aside)
     ]
-    assert len(near) <= BUDGETS.domains[0].down_max, 'Domain budget passed.'
+    assert len(near) <= BUDGETS.domains[0].down_max, 'Domain budget exceeded.'
--- a/tests/builders/workers.py
+++ b/tests/builders/workers.py
@@ -1,4 +1,4 @@
-"""Model workers, and a leader whose log commits when the test says so."""
+"""Simulated workers and a dispatcher whose log a test can hold back."""
 
 from collections import deque
 from typing import Any, NamedTuple
@@ -7,7 +7,7 @@
     ModelInstances,
     ModelPolicy,
     ModelWorker,
-    OrderSeen,
+    ReceivedOrder,
 )
 from sardinemast.dispatch import (
     Dispatcher,
@@ -51,17 +51,17 @@
 
 POOL = 'booking'
 STANDBY = 'standby'
-# How long the outside policy thinks about a question.
+# Response time of the external policy service.
 ADVICE_S = 0.3
 QUEUE = 'seats'
 TEAM = 'breizh'
 KEY = 'key-of-breizh'
 CORE = 1000
 MIB = 1024 * 1024
-# An instance is away so long for maintenance.
-UPKEEP_S = 2.0
+# How long maintenance takes an instance out of service.
+MAINTENANCE_S = 2.0
 _MS = 1000
-# The pool keeps all of its workers until it was seen to peak.
+# Keeps all workers in the pool until a peak of its load is known.
 _SETTINGS = DispatchSettings(pools=PoolPolicy(opening_share=1))
 
 
@@ -71,7 +71,7 @@
     cap: int = 0,
     advice: Advice | None = None,
 ) -> Catalog:
-    """Give a catalog with one queue, one pool and one team."""
+    """Return a catalog of a queue, a pool, a standby pool and a team."""
     return Catalog(
         version,
         (
@@ -99,7 +99,7 @@
     cores: int = 4,
     is_draining: bool = False,
 ) -> Worker:
-    """Give a worker with its own address and instance."""
+    """Return a worker with its own address and instance."""
     return Worker(
         f'w-{number}',
         boot_ms,
@@ -115,23 +115,23 @@
 
 
 def make_step(task_count: int = 1, **changes: Any) -> Step:
-    """Give a step of tasks that take a core each."""
+    """Return a step whose tasks reserve one core each."""
     step = Step(task_count, Size(CORE, MIB), estimate_ms=500)
     return step._replace(**changes)
 
 
 class _Waiting(NamedTuple):
-    """Hold an order that a worker has not answered yet."""
+    """An output of the dispatcher and the time of its response."""
 
     order: Any
     due_s: float
 
 
 class ModelFleet:
-    """Run a leader's dispatcher over a log, and workers that it orders.
+    """Simulate a leader's dispatcher, its log and its workers.
 
-    Orders to a dark worker are kept in ``late``; a test may carry them out
-    whenever it likes. With ``is_held`` proposals wait to be committed.
+    Orders to an unreachable worker are kept in ``late``, so that a test can
+    deliver them later. While ``is_held``, proposals are not committed.
     """
 
     def __init__(self, worker_count: int = 2, **worker: Any) -> None:
@@ -158,24 +158,24 @@
 
     @property
     def now_ms(self) -> int:
-        """Give the time of day."""
+        """Return the wall-clock time."""
         return int(self.now_s * _MS)
 
     def add_worker(self, worker: Worker, rate: float = 1) -> ModelWorker:
-        """Have a worker announce itself for the first time."""
+        """Add a worker and register it."""
         model = ModelWorker(worker, rate)
         self.workers[worker.name] = model
         self.commit(RegisterWorker(worker))
         return model
 
-    def add_drain(self, number: int) -> None:
-        """Have a worker say that it drains."""
+    def drain_worker(self, number: int) -> None:
+        """Register a worker as draining."""
         model = self.workers[f'w-{number}']
         model.worker = model.worker._replace(is_draining=True)
         self.commit(RegisterWorker(model.worker))
 
     def replace_worker(self, instance: str, boot_ms: int) -> None:
-        """Have the next worker of an instance announce itself."""
+        """Replace the worker of an instance by one with a new boot time."""
         for name, model in tuple(self.workers.items()):
             if model.worker.instance == instance:
                 self.workers.pop(name)
@@ -186,7 +186,7 @@
                 self.add_worker(next_worker)
 
     def elect(self) -> None:
-        """Let a new leader begin; what was not committed is lost."""
+        """Start a new leader; uncommitted proposals are lost."""
         self.term += 1
         self.proposed.clear()
         self._waiting.clear()
@@ -196,12 +196,12 @@
         self.dispatcher.start_term(self.state, self.term, self.now_s)
 
     def submit(self, name: str, *steps: Step, team: str = TEAM) -> None:
-        """Have a job accepted."""
+        """Commit a job with these steps."""
         request = JobRequest('spec', steps)
         self.commit(SubmitJob(name, QUEUE, team, request, self.now_ms))
 
     def commit(self, command: Command) -> None:
-        """Have a command applied, and tell the leader."""
+        """Apply a command and notify both dispatchers."""
         self.log_length += 1
         apply_command(command, self.state, self.log_length)
         self.dispatcher.record_order_time(command, self.now_s)
@@ -214,24 +214,24 @@
             )
 
     def commit_held(self) -> None:
-        """Have all held proposals committed."""
+        """Commit all held proposals."""
         while self.proposed:
             self.commit(self.proposed.popleft())
 
     def run(self, seconds: float, step_s: float = 0.05) -> None:
-        """Let time pass; workers that are not dark announce themselves."""
+        """Advance the time; record announcements of reachable workers."""
         for _ in range(round(seconds / step_s)):
             self.now_s += step_s
             for model in tuple(self.workers.values()):
-                model.note_time(self.now_s)
-                if not (model.is_dark or model.is_mute):
+                model.advance_clock(self.now_s)
+                if not (model.is_unreachable or model.loses_responses):
                     name = model.worker.name
                     self.dispatcher.record_announcement(name, self.now_s)
             self._answer_due()
             self._execute(self.dispatcher.tick(self.now_s, self.now_ms))
 
-    def get_runs(self, task: TaskKey) -> list[str]:
-        """Give the workers that truly run a task now."""
+    def get_running_workers(self, task: TaskKey) -> list[str]:
+        """Return the names of the workers that are running a task."""
         return [
             name
             for name, model in self.workers.items()
@@ -245,7 +245,7 @@
             elif isinstance(output, LogDecision):
                 self.logged.append(f'{output.event} {output.subject}')
             elif isinstance(output, OrderMaintenance):
-                self.instances.upkeeps.append(output.instance)
+                self.instances.maintenance_orders.append(output.instance)
                 self._note_order(output)
                 self._waiting.append(_Waiting(output, self.now_s))
             elif isinstance(output, RequestAdvice):
@@ -264,7 +264,7 @@
             self.commit_held()
 
     def _note_order(self, order: OrderMove | OrderMaintenance) -> None:
-        seen = OrderSeen(order.instance, order.token, self.now_s)
+        seen = ReceivedOrder(order.instance, order.token, self.now_s)
         self.instances.seen.append(seen)
 
     def _send(self, order: Any) -> None:
@@ -272,7 +272,7 @@
             self.started.append(order)
         due_s = self.now_s
         model = self.workers.get(order.worker.name)
-        if model is None or model.is_dark:
+        if model is None or model.is_unreachable:
             due_s += order.timeout_s
         elif isinstance(order, PollWorker):
             due_s += order.wait_ms / _MS
@@ -290,7 +290,7 @@
     def _is_due(self, waiting: _Waiting) -> bool:
         if isinstance(waiting.order, PollWorker):
             model = self.workers.get(waiting.order.worker.name)
-            if model is not None and not model.is_dark and model.ends:
+            if model is not None and not model.is_unreachable and model.ends:
                 return True
         return self.now_s >= waiting.due_s
 
@@ -299,7 +299,7 @@
         if isinstance(order, OrderMaintenance):
             is_refused = order.instance in self.instances.refused
             if not is_refused:
-                back_s = self.now_s + UPKEEP_S
+                back_s = self.now_s + MAINTENANCE_S
                 self.instances.away_until_s[order.instance] = back_s
             event = MaintenanceAnswered(
                 order.instance,
@@ -307,8 +307,11 @@
                 order.boot_ms,
                 OrderOutcome.refused if is_refused else OrderOutcome.done,
             )
-        elif isinstance(order, ListInstances) and self.instances.lost_lists:
-            self.instances.lost_lists -= 1
+        elif (
+            isinstance(order, ListInstances)
+            and self.instances.lost_list_responses
+        ):
+            self.instances.lost_list_responses -= 1
         elif isinstance(order, ListInstances):
             event = InstancesListed(self._list_instances(), order.asked_s)
         elif isinstance(order, RequestAdvice):
@@ -348,9 +351,9 @@
         name = order.worker.name
         model = self.workers.get(name)
         outcome, body = OrderOutcome.unknown, None
-        if model is not None and not model.is_dark:
+        if model is not None and not model.is_unreachable:
             outcome, body = model.carry_out(order, self.now_s)
-            if model.is_mute:
+            if model.loses_responses:
                 outcome, body = OrderOutcome.unknown, None
         elif model is not None:
             self.late.append((model, order))
--- a/tests/consensus/test_folder_replacement.py
+++ b/tests/consensus/test_folder_replacement.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from builders.replicas import Cluster, is_no_leader
+from builders.replicas import Cluster, is_not_leader
 from sardinemast.consensus import (
     MessageReceived,
     ProposalRejected,
@@ -25,7 +25,7 @@
         cluster.propose()
         cluster.run(3)
     acknowledged = dict(cluster.committed)
-    for node in sorted(cluster.nodes.values(), key=is_no_leader):
+    for node in sorted(cluster.nodes.values(), key=is_not_leader):
         node.lose_folder(may_found=True)
         cluster.settle()
     assert acknowledged.items() <= cluster.committed.items()
@@ -38,7 +38,7 @@
     """
     cluster = Cluster(3)
     cluster.run(50)
-    node = next(filter(is_no_leader, cluster.nodes.values()))
+    node = next(filter(is_not_leader, cluster.nodes.values()))
     replaced_disk = node.disk
     node.lose_folder(may_found=True)
     cluster.settle()
@@ -53,7 +53,7 @@
     """Ignore a vote request from a folder outside the configuration."""
     cluster = Cluster(3)
     cluster.run(50)
-    node = next(filter(is_no_leader, cluster.nodes.values()))
+    node = next(filter(is_not_leader, cluster.nodes.values()))
     assert node.replica
     request = VoteRequest(99, 99, 99, is_pre_vote=False)
     identity = node.disk.folder.identity
@@ -77,7 +77,7 @@
     """
     cluster = Cluster(3)
     cluster.run(50)
-    leader, second, third = sorted(cluster.nodes.values(), key=is_no_leader)
+    leader, second, third = sorted(cluster.nodes.values(), key=is_not_leader)
     third.crash()
     cluster.run(20)
     now_s = leader.get_local_s(cluster.true_s)
@@ -97,9 +97,9 @@
     cluster.run(50)
     cluster.propose()
     cluster.run(3)
-    node = next(filter(is_no_leader, cluster.nodes.values()))
+    node = next(filter(is_not_leader, cluster.nodes.values()))
     node.lose_folder(may_found=True)
     cluster.run(10 + steps)
-    if cluster.may_lose(node):
+    if cluster.can_lose_folder(node):
         node.lose_folder(may_found=True)
     cluster.settle()
--- a/tests/consensus/test_joining.py
+++ b/tests/consensus/test_joining.py
@@ -1,6 +1,6 @@
 """Test clusters that replicas of any name may join."""
 
-from builders.replicas import Cluster, is_no_leader
+from builders.replicas import Cluster, is_not_leader
 from sardinemast.consensus import AppendEntries, CommandProposed, SendMessage
 
 _CONVERGENCE_STEPS = 100
@@ -34,14 +34,16 @@
     less than configured.
     """
     cluster = _make_open_cluster(3)
-    removed = next(filter(is_no_leader, cluster.nodes.values()))
+    removed = next(filter(is_not_leader, cluster.nodes.values()))
     cluster.nodes.pop(removed.name)
-    cluster.bag.clear()
+    cluster.in_flight.clear()
     cluster.add('control-9', 3)
     for _ in range(_CONVERGENCE_STEPS):
         cluster.tick()
-        cluster.bag = [
-            parcel for parcel in cluster.bag if parcel.to in cluster.nodes
+        cluster.in_flight = [
+            envelope
+            for envelope in cluster.in_flight
+            if envelope.to in cluster.nodes
         ]
         cluster.deliver_all()
     assert removed.name not in cluster.get_voters()
@@ -82,9 +84,9 @@
     """
     cluster = _make_open_cluster(3)
     leader = next(
-        node for node in cluster.nodes.values() if not is_no_leader(node)
+        node for node in cluster.nodes.values() if not is_not_leader(node)
     )
-    follower = next(filter(is_no_leader, cluster.nodes.values()))
+    follower = next(filter(is_not_leader, cluster.nodes.values()))
     for _ in range(20):
         cluster.propose(_PADDING)
         cluster.run(1)
--- a/tests/consensus/test_replica_fuzz.py
+++ b/tests/consensus/test_replica_fuzz.py
@@ -10,7 +10,7 @@
     rule,
 )
 
-from builders.replicas import ELECTION_STEPS, Cluster, Node, is_no_leader
+from builders.replicas import ELECTION_STEPS, Cluster, Node, is_not_leader
 
 pytestmark = pytest.mark.fuzz
 _NODES = st.integers(0, 4)
@@ -38,7 +38,7 @@
 
     def pick(self, number: int) -> Node:
         """Return the leader for 0, and the other nodes for other numbers."""
-        nodes = sorted(self.cluster.nodes.values(), key=is_no_leader)
+        nodes = sorted(self.cluster.nodes.values(), key=is_not_leader)
         return nodes[number % self.count]
 
     @rule(steps=st.integers(1, 20))
@@ -95,19 +95,19 @@
     def lose_folder(self, number: int, is_copy: bool) -> None:
         """Delete a data folder, or put an old copy in its place."""
         node = self.pick(number)
-        if not self.cluster.may_lose(node):
+        if not self.cluster.can_lose_folder(node):
             return
         if is_copy:
-            node.put_backup_back()
+            node.restore_backup()
         else:
             node.lose_folder(may_found=True)
 
     @rule(number=_NODES)
-    def ask_repair(self, number: int) -> None:
+    def request_repair(self, number: int) -> None:
         """Request the repair of a replica."""
         node = self.pick(number)
-        if self.cluster.may_lose(node):
-            self.cluster.ask_repair(node.name)
+        if self.cluster.can_lose_folder(node):
+            self.cluster.request_repair(node.name)
 
     @rule(number=_NODES, steps=st.integers(1, 30))
     def freeze(self, number: int, steps: int) -> None:
@@ -131,25 +131,25 @@
         """Let time pass without delivering messages."""
         self.cluster.tick()
 
-    @precondition(lambda machine: machine.cluster.bag)
+    @precondition(lambda machine: machine.cluster.in_flight)
     @rule(position=_POSITIONS)
     def deliver(self, position: int) -> None:
         """Deliver a message out of order."""
-        self.cluster.deliver(position % len(self.cluster.bag))
+        self.cluster.deliver(position % len(self.cluster.in_flight))
 
-    @precondition(lambda machine: machine.cluster.bag)
+    @precondition(lambda machine: machine.cluster.in_flight)
     @rule(position=_POSITIONS)
     def duplicate(self, position: int) -> None:
         """Deliver a message and keep a copy to deliver later."""
-        bag = self.cluster.bag
-        bag.append(bag[position % len(bag)])
-        self.cluster.deliver(position % len(bag))
+        in_flight = self.cluster.in_flight
+        in_flight.append(in_flight[position % len(in_flight)])
+        self.cluster.deliver(position % len(in_flight))
 
-    @precondition(lambda machine: machine.cluster.bag)
+    @precondition(lambda machine: machine.cluster.in_flight)
     @rule(position=_POSITIONS)
     def drop(self, position: int) -> None:
         """Drop a message."""
-        del self.cluster.bag[position % len(self.cluster.bag)]
+        del self.cluster.in_flight[position % len(self.cluster.in_flight)]
 
     @rule(number=_NODES, outputs=st.integers(0, 12))
     def kill(self, number: int, outputs: int) -> None:
--- a/tests/consensus/test_replication.py
+++ b/tests/consensus/test_replication.py
@@ -1,6 +1,6 @@
 """Test that followers catch up with the leader's log."""
 
-from builders.replicas import BATCH_BYTES, Cluster, is_no_leader
+from builders.replicas import BATCH_BYTES, Cluster, is_not_leader
 from sardinemast.consensus import (
     AppendEntries,
     LogEntry,
@@ -16,7 +16,7 @@
     """
     cluster = Cluster(3)
     cluster.run(50)
-    follower = next(filter(is_no_leader, cluster.nodes.values()))
+    follower = next(filter(is_not_leader, cluster.nodes.values()))
     follower.crash()
     for _ in range(12):
         cluster.propose()
@@ -25,7 +25,7 @@
     follower.disk.append((LogEntry(next_index, 0, b'lost'),))
     follower.start()
     cluster.settle()
-    assert len(cluster.bag) < 10
+    assert len(cluster.in_flight) < 10
 
 
 def test_lagging_follower_gets_the_snapshot() -> None:
@@ -35,7 +35,7 @@
     """
     cluster = Cluster(3)
     cluster.run(50)
-    leader, follower, _ = sorted(cluster.nodes.values(), key=is_no_leader)
+    leader, follower, _ = sorted(cluster.nodes.values(), key=is_not_leader)
     follower.crash()
     for _ in range(12):
         cluster.propose()
@@ -56,7 +56,7 @@
     """
     cluster = Cluster(3)
     cluster.run(50)
-    follower = next(filter(is_no_leader, cluster.nodes.values()))
+    follower = next(filter(is_not_leader, cluster.nodes.values()))
     follower.crash()
     for _ in range(12):
         cluster.propose(padding=bytes(BATCH_BYTES // 2 - 8))
@@ -65,7 +65,7 @@
     largest = 0
     while follower.replica and follower.replica.commit_index < 12:
         cluster.run(1)
-        messages = [parcel.message for parcel in cluster.bag]
+        messages = [envelope.message for envelope in cluster.in_flight]
         sizes = [
             sum(len(entry.payload) for entry in message.entries)
             for message in messages
--- a/tests/consensus/test_restarts.py
+++ b/tests/consensus/test_restarts.py
@@ -22,7 +22,8 @@
     )
     cluster.cuts.add((leader.name, isolated.name))
     while not any(
-        isinstance(parcel.message, VoteRequest) for parcel in cluster.bag
+        isinstance(envelope.message, VoteRequest)
+        for envelope in cluster.in_flight
     ):
         cluster.deliver_all()
         cluster.tick()
--- a/tests/dispatch/test_dispatch_fuzz.py
+++ b/tests/dispatch/test_dispatch_fuzz.py
@@ -63,13 +63,13 @@
     def toggle_connection(self, number: int) -> None:
         """Disconnect a worker, or reconnect it."""
         model = self.fleet.workers[f'w-{number}']
-        model.is_dark = not model.is_dark
+        model.is_unreachable = not model.is_unreachable
 
     @rule(number=st.integers(0, _WORKERS - 1))
     def toggle_answers(self, number: int) -> None:
         """Lose the answers of a worker, or stop losing them."""
         model = self.fleet.workers[f'w-{number}']
-        model.is_mute = not model.is_mute
+        model.loses_responses = not model.loses_responses
 
     @rule(number=st.integers(0, _WORKERS - 1))
     def restart_worker(self, number: int) -> None:
@@ -122,8 +122,8 @@
         fleet.is_held = False
         fleet.commit_held()
         for model in fleet.workers.values():
-            model.is_dark = False
-            model.is_mute = False
+            model.is_unreachable = False
+            model.loses_responses = False
         fleet.run(8)
         for _ in range(60):
             if not fleet.state.live:
--- a/tests/dispatch/test_leases.py
+++ b/tests/dispatch/test_leases.py
@@ -13,28 +13,28 @@
     fleet.run(0.5)
     fleet.submit('job', make_step())
     fleet.run(0.5)
-    return fleet.get_runs(TASK)[0]
+    return fleet.get_running_workers(TASK)[0]
 
 
 def test_task_restarts_elsewhere_only_after_lease_expires() -> None:
     """Never run a task twice while a silent worker may still run it."""
     fleet = ModelFleet()
     worker = _start_one(fleet)
-    fleet.workers[worker].is_dark = True
+    fleet.workers[worker].is_unreachable = True
     for _ in range(200):
         fleet.run(0.05)
-        assert len(fleet.get_runs(TASK)) <= 1
-    assert len(fleet.get_runs(TASK)) == 1
-    assert fleet.get_runs(TASK) != [worker]
+        assert len(fleet.get_running_workers(TASK)) <= 1
+    assert len(fleet.get_running_workers(TASK)) == 1
+    assert fleet.get_running_workers(TASK) != [worker]
 
 
 def test_unanswered_polls_do_not_extend_lease() -> None:
     """Let the lease expire although the leader keeps polling the worker."""
     fleet = ModelFleet()
     worker = _start_one(fleet)
-    fleet.workers[worker].is_dark = True
+    fleet.workers[worker].is_unreachable = True
     fleet.run(_LEASE_S + 3)
-    assert fleet.get_runs(TASK) not in ([], [worker])
+    assert fleet.get_running_workers(TASK) not in ([], [worker])
 
 
 def test_lease_allows_for_slow_worker_clock() -> None:
@@ -49,12 +49,12 @@
     fleet.run(0.5)
     slow = fleet.workers['w-1']
     fleet.run(30)
-    slow.is_mute = True
+    slow.loses_responses = True
     for _ in range(200):
         fleet.run(0.05)
         for position in range(2):
             task = TASK._replace(position=position)
-            assert len(fleet.get_runs(task)) <= 1
+            assert len(fleet.get_running_workers(task)) <= 1
 
 
 def test_worker_refuses_late_start() -> None:
@@ -62,17 +62,17 @@
     fleet = ModelFleet()
     fleet.run(0.5)
     for model in fleet.workers.values():
-        model.is_dark = True
+        model.is_unreachable = True
     fleet.submit('job', make_step())
     fleet.run(1.5)
     for model in fleet.workers.values():
-        model.is_dark = False
+        model.is_unreachable = False
     fleet.run(8)
-    assert len(fleet.get_runs(TASK)) == 1
+    assert len(fleet.get_running_workers(TASK)) == 1
     for model, order in fleet.late:
         outcome, _ = model.carry_out(order, fleet.now_s)
         assert outcome is OrderOutcome.refused
-    assert len(fleet.get_runs(TASK)) == 1
+    assert len(fleet.get_running_workers(TASK)) == 1
 
 
 def test_end_is_acknowledged_only_after_it_is_recorded() -> None:
@@ -135,7 +135,7 @@
     fleet.run(1)
     fleet.elect()
     fleet.run(10)
-    assert fleet.get_runs(TASK) == [worker]
+    assert fleet.get_running_workers(TASK) == [worker]
     assert len(fleet.started) == 1
 
 
@@ -150,10 +150,10 @@
     assert isinstance(command, RecordRuns)
     fleet.elect()
     fleet.commit(command)
-    assert not fleet.get_runs(TASK)
+    assert not fleet.get_running_workers(TASK)
     fleet.is_held = False
     fleet.run(2)
-    assert len(fleet.get_runs(TASK)) == 1
+    assert len(fleet.get_running_workers(TASK)) == 1
 
 
 def test_draining_worker_gets_no_new_runs() -> None:
--- a/tests/dispatch/test_maintenance_fuzz.py
+++ b/tests/dispatch/test_maintenance_fuzz.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import initialize, invariant, rule
 
 from builders.election_rules import ElectionRules
-from builders.model_workers import ModelWorker, OrderSeen
+from builders.model_workers import ModelWorker, ReceivedOrder
 from builders.workers import make_step
 from sardinemast.jobs import TaskKey
 from sardinemast.jobs.commands import DeclareWave, RegisterWorker
@@ -65,7 +65,7 @@
     def return_instance(self, number: int) -> None:
         """Register the next worker of an instance that was ordered down."""
         instance = f'm-{number}'
-        if instance in self.fleet.instances.upkeeps:
+        if instance in self.fleet.instances.maintenance_orders:
             self.boots += 1
             for model in self._find(instance):
                 for task in tuple(model.running):
@@ -103,7 +103,7 @@
     @invariant()
     def separates_leaders(self) -> None:
         """Check the time between orders of two leaders for an instance."""
-        by_instance: dict[str, list[OrderSeen]] = {}
+        by_instance: dict[str, list[ReceivedOrder]] = {}
         for seen in self.fleet.instances.seen:
             by_instance.setdefault(seen.instance, []).append(seen)
         for orders in by_instance.values():
--- a/tests/dispatch/test_maintenance_waves.py
+++ b/tests/dispatch/test_maintenance_waves.py
@@ -1,6 +1,6 @@
 """Test maintenance waves and the limits of long-running steps."""
 
-from builders.workers import UPKEEP_S, ModelFleet, make_step, make_worker
+from builders.workers import MAINTENANCE_S, ModelFleet, make_step, make_worker
 from sardinemast.jobs import MaintenanceStatus, TaskKey, WaveItem
 from sardinemast.jobs.commands import (
     CancelJob,
@@ -40,7 +40,7 @@
 
 def _count_running(fleet: ModelFleet, task_count: int) -> int:
     tasks = [TaskKey('watch', 0, 0, number) for number in range(task_count)]
-    return sum(bool(fleet.get_runs(task)) for task in tasks)
+    return sum(bool(fleet.get_running_workers(task)) for task in tasks)
 
 
 def test_tasks_of_one_step_are_stopped_in_turn() -> None:
@@ -53,7 +53,7 @@
     for model in fleet.workers.values():
         model.stop_delay_s = 0.4
     for number in range(_WORKERS):
-        fleet.add_drain(number)
+        fleet.drain_worker(number)
     fleet.add_worker(make_worker(8))
     fleet.add_worker(make_worker(9))
     for _ in range(300):
@@ -70,7 +70,7 @@
     leaving, other = fleet.workers.values()
     assert leaving.running and other.running
     leaving.stop_delay_s = float('inf')
-    fleet.add_drain(0)
+    fleet.drain_worker(0)
     fleet.run(0.2)
     assert _count_stops(fleet) == 1
     other.percent = 20
@@ -89,9 +89,9 @@
     starting, other = fleet.workers.values()
     starting.percent = 20
     fleet.run(2)
-    other.is_dark = True
+    other.is_unreachable = True
     fleet.run(2.2)
-    fleet.add_drain(0)
+    fleet.drain_worker(0)
     fleet.run(1.5)
     assert not _count_stops(fleet)
 
@@ -102,16 +102,16 @@
     _start_long_running_step(fleet, 2, 1)
     _declare_wave(fleet, cap=1)
     fleet.run(0.5)
-    assert len(fleet.instances.upkeeps) == 1
+    assert len(fleet.instances.maintenance_orders) == 1
     fleet.run(3)
-    assert len(set(fleet.instances.upkeeps)) == 1
+    assert len(set(fleet.instances.maintenance_orders)) == 1
     boot_ms = 10
     for _ in range(60):
         fleet.run(0.5)
-        down = fleet.instances.upkeeps[-1]
+        down = fleet.instances.maintenance_orders[-1]
         boot_ms += 1
         fleet.replace_worker(down, boot_ms)
-    assert set(fleet.instances.upkeeps) == {
+    assert set(fleet.instances.maintenance_orders) == {
         f'm-{one}' for one in range(_WORKERS)
     }
     items = fleet.state.waves[1].items
@@ -151,13 +151,13 @@
     fleet.run(0.5)
     _declare_wave(fleet)
     fleet.run(5)
-    assert not fleet.instances.upkeeps
+    assert not fleet.instances.maintenance_orders
     for model in fleet.workers.values():
         for task in tuple(model.running):
             model.end(task, 'done')
     fleet.commit(CancelJob('peak'))
     fleet.run(5)
-    assert fleet.instances.upkeeps
+    assert fleet.instances.maintenance_orders
 
 
 def test_new_leader_drains_worker_before_repeating_order() -> None:
@@ -175,11 +175,11 @@
     fleet.commit(ordered)
     fleet.elect()
     for _ in range(400):
-        known = len(fleet.instances.upkeeps)
+        known = len(fleet.instances.maintenance_orders)
         fleet.run(0.05)
-        if len(fleet.instances.upkeeps) > known:
+        if len(fleet.instances.maintenance_orders) > known:
             assert not worker.running
-    assert fleet.instances.upkeeps
+    assert fleet.instances.maintenance_orders
 
 
 def test_delayed_announcement_does_not_complete_maintenance() -> None:
@@ -193,12 +193,12 @@
     fleet.commit(ForgetWorker('w-1', model.worker.boot_ms))
     _declare_wave(fleet, cap=1, names=('m-1', 'm-2'))
     fleet.run(0.2)
-    assert fleet.instances.upkeeps == ['m-1']
+    assert fleet.instances.maintenance_orders == ['m-1']
     # The maintenance takes long, and no list shows the instance as up.
     fleet.instances.away_until_s['m-1'] = fleet.now_s + 10
     fleet.add_worker(make_worker(1, boot_ms=7))
     fleet.run(3)
-    assert fleet.instances.upkeeps == ['m-1']
+    assert fleet.instances.maintenance_orders == ['m-1']
 
 
 def test_instance_is_not_maintained_during_move() -> None:
@@ -215,9 +215,9 @@
     assert fleet.instances.moves
     _declare_wave(fleet, names=('spare',))
     fleet.run(2)
-    assert not fleet.instances.upkeeps
+    assert not fleet.instances.maintenance_orders
     fleet.run(8)
-    assert fleet.instances.upkeeps
+    assert fleet.instances.maintenance_orders
 
 
 def test_standby_instances_are_maintained_first() -> None:
@@ -228,7 +228,7 @@
     fleet.run(5)
     _declare_wave(fleet, cap=8, names=(*_INSTANCES, *spare))
     fleet.run(0.5)
-    assert set(spare) <= set(fleet.instances.upkeeps)
+    assert set(spare) <= set(fleet.instances.maintenance_orders)
 
 
 def test_standby_instance_is_done_when_listed_as_up() -> None:
@@ -240,10 +240,10 @@
     fleet.instances.standby = {'spare-0', 'spare-1'}
     fleet.run(5)
     _declare_wave(fleet, cap=1, names=('spare-0', 'spare-1'))
-    fleet.run(UPKEEP_S - 0.5)
-    assert len(fleet.instances.upkeeps) == 1
+    fleet.run(MAINTENANCE_S - 0.5)
+    assert len(fleet.instances.maintenance_orders) == 1
     fleet.run(3)
-    assert len(fleet.instances.upkeeps) == 2
+    assert len(fleet.instances.maintenance_orders) == 2
     fleet.run(4)
     assert not _list_unfinished(fleet)
 
--- a/tests/dispatch/test_moves.py
+++ b/tests/dispatch/test_moves.py
@@ -134,7 +134,7 @@
 def test_lost_instance_list_is_requested_again() -> None:
     """Repeat a request whose answer is lost before the regular interval."""
     fleet = _make_fleet()
-    fleet.instances.lost_lists = 2
+    fleet.instances.lost_list_responses = 2
     _elect_and_submit(fleet)
     fleet.run(4)
     assert [one.instance for one in fleet.instances.moves] == ['spare']
--- a/tests/dispatch/test_stragglers.py
+++ b/tests/dispatch/test_stragglers.py
@@ -11,7 +11,7 @@
     fleet.run(1)
     fleet.submit('job', make_step(2, estimate_ms=600))
     fleet.run(0.2)
-    return fleet.workers[fleet.get_runs(TASK)[0]]
+    return fleet.workers[fleet.get_running_workers(TASK)[0]]
 
 
 def test_stuck_task_restarts_elsewhere() -> None:
@@ -20,7 +20,7 @@
     stuck_worker = _start_two(fleet)
     stuck_worker.percent = 3
     fleet.run(3.5)
-    workers = fleet.get_runs(TASK)
+    workers = fleet.get_running_workers(TASK)
     assert len(workers) == 1
     assert workers != [stuck_worker.worker.name]
 
@@ -95,7 +95,7 @@
     worker = _start_two(fleet)
     worker.percent = 10
     fleet.run(4)
-    assert fleet.get_runs(TASK) == [worker.worker.name]
+    assert fleet.get_running_workers(TASK) == [worker.worker.name]
     assert len(fleet.started) == 2
 
 
@@ -144,10 +144,10 @@
     fleet.run(1)
     fleet.submit('job', make_step(2, estimate_ms=600, is_best_effort=True))
     fleet.run(0.2)
-    stuck_worker = fleet.workers[fleet.get_runs(TASK)[0]]
+    stuck_worker = fleet.workers[fleet.get_running_workers(TASK)[0]]
     stuck_worker.percent = 3
     fleet.submit('busy', make_step(8, estimate_ms=9000))
     fleet.run(3.5)
-    workers = fleet.get_runs(TASK)
+    workers = fleet.get_running_workers(TASK)
     assert len(workers) == 1
     assert workers != [stuck_worker.worker.name]
--- a/tests/dispatch/test_tickets.py
+++ b/tests/dispatch/test_tickets.py
@@ -46,7 +46,7 @@
     fleet.run(2)
     requested = [worker.name for worker in fleet.policy.questions[1].workers]
     assert requested == ['w-9']
-    assert fleet.get_runs(TASK) == ['w-9']
+    assert fleet.get_running_workers(TASK) == ['w-9']
 
 
 def test_expired_ticket_is_not_used() -> None:
@@ -72,7 +72,7 @@
     assert not fleet.started
     fleet.policy.is_silent = False
     fleet.run(2)
-    assert fleet.get_runs(TASK) == ['w-0']
+    assert fleet.get_running_workers(TASK) == ['w-0']
 
 
 def test_restarted_worker_needs_new_ticket() -> None:
@@ -99,7 +99,7 @@
     fleet.run(1)
     fleet.submit('job', make_step(2, is_best_effort=True))
     fleet.run(1)
-    assert fleet.get_runs(TASK) == ['w-0']
+    assert fleet.get_running_workers(TASK) == ['w-0']
 
 
 def test_denied_ticket_is_not_requested_again() -> None:
--- a/tests/entry/test_limits_fuzz.py
+++ b/tests/entry/test_limits_fuzz.py
@@ -329,7 +329,7 @@
 
     def _deliver_to_entry(self, node: Node, stream: Stream) -> None:
         if stream.down and node.stream is stream and not node.is_frozen:
-            self._process_outputs(node, node.take_down(self.now_s))
+            self._process_outputs(node, node.receive_from_control(self.now_s))
 
     def _queue_sent_messages(self) -> None:
         for sent in self.controls.to_entries:
--- a/tests/idempotency/test_claims.py
+++ b/tests/idempotency/test_claims.py
@@ -139,7 +139,7 @@
     request_id = _grant(entries, 'entry-1', key)
     ended = RequestEnded(request_id, ClaimOutcome.answered, _ANSWER)
     entries.end('entry-1', ended)
-    entries.bag = [one for one in entries.bag if one.to != name]
+    entries.in_flight = [one for one in entries.in_flight if one.to != name]
     entries.settle()
     entries.now_s += BOUND_S
     assert _request_verdict(entries, name, key) is ClaimVerdict.answered
--- a/tests/idempotency/test_claims_fuzz.py
+++ b/tests/idempotency/test_claims_fuzz.py
@@ -97,25 +97,25 @@
     @rule(choices=st.lists(_ANY, min_size=1, max_size=12))
     def deliver(self, choices: list[int]) -> None:
         """Deliver messages in any order."""
-        bag = self._entries.bag
+        in_flight = self._entries.in_flight
         for choice in choices:
-            if bag:
-                self._entries.deliver(bag.pop(choice % len(bag)))
+            if in_flight:
+                self._entries.deliver(in_flight.pop(choice % len(in_flight)))
                 self._check_decisions()
 
     @rule(choice=_ANY)
     def repeat(self, choice: int) -> None:
         """Deliver a message that will be delivered again."""
-        bag = self._entries.bag
-        if bag:
-            self._entries.deliver(bag[choice % len(bag)])
+        in_flight = self._entries.in_flight
+        if in_flight:
+            self._entries.deliver(in_flight[choice % len(in_flight)])
             self._check_decisions()
 
     @rule(name=_NAME)
     def drop_messages(self, name: str) -> None:
         """Drop all messages in transit to an entry."""
-        kept = [one for one in self._entries.bag if one.to != name]
-        self._entries.bag = kept
+        kept = [one for one in self._entries.in_flight if one.to != name]
+        self._entries.in_flight = kept
 
     @rule()
     def settle(self) -> None:
@@ -123,8 +123,8 @@
         for name in tuple(self._entries.nodes):
             self._entries.feed(name, Tick())
             self._check_decisions()
-        while self._entries.bag:
-            self._entries.deliver(self._entries.bag.pop(0))
+        while self._entries.in_flight:
+            self._entries.deliver(self._entries.in_flight.pop(0))
             self._check_decisions()
 
     @rule(
--- a/tests/idempotency/test_holder_restarts.py
+++ b/tests/idempotency/test_holder_restarts.py
@@ -23,23 +23,23 @@
     """Deliver the messages in transit to an entry, maybe of one sender."""
     selected = [
         one
-        for one in entries.bag
+        for one in entries.in_flight
         if one.to == to and (not sender or one.sender.entry == sender)
     ]
     for envelope in selected:
-        entries.bag.remove(envelope)
+        entries.in_flight.remove(envelope)
         entries.deliver(envelope)
 
 
 def _restart(entries: Entries, name: str, *others: str) -> None:
     """Restart an entry, and let it sync with the others named."""
-    in_transit = entries.bag
-    entries.bag = []
+    in_transit = entries.in_flight
+    entries.in_flight = []
     entries.start(name)
     for other in others:
         entries.catch_up(other)
     entries.settle(name, *others)
-    entries.bag = in_transit
+    entries.in_flight = in_transit
 
 
 def _was_granted(entries: Entries, request_id: int) -> bool:
@@ -56,7 +56,7 @@
 
 def _is_granted_by_second_and_third(entries: Entries) -> bool:
     """Claim the key at the third holder, reaching only the second."""
-    entries.bag = []
+    entries.in_flight = []
     request_id = entries.claim('entry-3', _KEY)
     _deliver(entries, 'entry-2')
     _deliver(entries, 'entry-3')
@@ -104,11 +104,11 @@
     _deliver(entries, 'entry-2', 'entry-1')
     _deliver(entries, 'entry-1', 'entry-2')
     assert _was_granted(entries, running)
-    entries.bag = []
+    entries.in_flight = []
     entries.start('entry-2')
     for name in NAMES:
         entries.catch_up(name)
-    entries.bag = []
+    entries.in_flight = []
     entries.feed('entry-2', Tick())
     for name in ('entry-3', 'entry-1'):
         _deliver(entries, name, 'entry-2')
@@ -130,7 +130,7 @@
         _deliver(entries, name)
     _deliver(entries, 'entry-4')
     assert _was_granted(entries, request_id)
-    entries.bag = []
+    entries.in_flight = []
     for name in ('entry-1', 'entry-2'):
         entries.start(name, sees_log=False)
     for name in NAMES:
--- a/tests/maintenance/test_moves.py
+++ b/tests/maintenance/test_moves.py
@@ -1,26 +1,26 @@
 """Choice of moves as peaks come in turns."""
 
-from builders.waves import World
+from builders.waves import WaveSimulation
 from sardinemast import maintenance
 
 _POOLS = ('orders', 'billing', 'spare')
 
 
-def _ask(world: World, **wanted: float) -> None:
+def _ask(world: WaveSimulation, **wanted: float) -> None:
     demands = tuple(
         maintenance.PoolDemand(pool, wanted.get(pool, 0.2)) for pool in _POOLS
     )
-    world.live()
+    world.advance()
     world.feed(maintenance.DemandReported(demands))
 
 
-def _count(world: World, pool: str) -> int:
+def _count(world: WaveSimulation, pool: str) -> int:
     return sum(one.pool == pool for one in world.state.instances.values())
 
 
 def test_peak_draws_from_the_spare_pool_first() -> None:
     """Move idle instances to the pool whose peak comes."""
-    world = World()
+    world = WaveSimulation()
     for _ in range(14):
         _ask(world)
     for _ in range(14):
@@ -34,7 +34,7 @@
     Demand drops for a second while callers change over. If its instances
     left at once, they would be missing when it comes back.
     """
-    world = World()
+    world = WaveSimulation()
     for _ in range(14):
         _ask(world, orders=4, billing=2, spare=2)
     for second in range(12):
--- a/tests/maintenance/test_wave_sessions.py
+++ b/tests/maintenance/test_wave_sessions.py
@@ -1,22 +1,22 @@
 """Golden sessions of whole waves."""
 
 from builders import Session, check_golden
-from builders.waves import BUDGETS, PLAN, WALL_S, World
+from builders.waves import BUDGETS, PLAN, WALL_S, WaveSimulation
 from sardinemast import maintenance
 
 
-def _make_world() -> tuple[World, Session]:
-    world = World()
+def _make_world() -> tuple[WaveSimulation, Session]:
+    world = WaveSimulation()
     for _ in range(7):
-        world.live()
+        world.advance()
     session = Session(lambda event, now_s: world.core.step(event, now_s))
     world.session = session
     return world, session
 
 
-def _live(world: World, seconds: int) -> None:
+def _live(world: WaveSimulation, seconds: int) -> None:
     for _ in range(seconds):
-        world.live()
+        world.advance()
 
 
 def test_whole_wave() -> None:
@@ -59,7 +59,7 @@
     world, session = _make_world()
     world.start_wave()
     _live(world, 2)
-    world.live(is_platform_lost=True)
+    world.advance(is_platform_lost=True)
     session.note('The leader is lost; its requests never left.')
     world.change_leader(is_committed=False)
     _live(world, 12)
@@ -87,10 +87,10 @@
     """
     world, _ = _make_world()
     world.start_wave()
-    world.live()
+    world.advance()
     stuck = [one.name for one in world.state.get_stepping()]
     for _ in range(14):
-        world.live(lagging=['entry-2'])
+        world.advance(lagging=['entry-2'])
         world.entries[1].lease_until_s = world.now_s + 3
     texts = [one.text for one in world.record.reports]
     assert 'drain got stuck, not confirmed by entry-2/1' in texts
@@ -107,7 +107,7 @@
     world, _ = _make_world()
     world.start_wave()
     for _ in range(3):
-        world.live(silent=['orders-2'])
+        world.advance(silent=['orders-2'])
     assert world.state.instances['orders-2'].condition == 'suspected'
     assert world.state.instances['orders-1'].condition == 'serving'
 
@@ -151,7 +151,7 @@
     world.start_wave(PLAN._replace(cadence_s=cadence_s, at_once=1))
     worst_s: float = 0
     for _ in range(900):
-        world.live()
+        world.advance()
         wall_s = WALL_S + world.now_s
         ages = [
             wall_s - one.maintained_at_s
@@ -236,18 +236,18 @@
     world, _ = _make_world()
     world.start_wave(PLAN._replace(pools=('orders',)))
     for _ in range(3):
-        world.live()
+        world.advance()
     instance = world.instances['orders-1']
     request = world.asked[-1:] or world.record.requests[-1:]
     assert request[0].instance == 'orders-1'
     instance.restart()
     for _ in range(2):
-        world.live(is_platform_lost=True)
-    early = instance.tell()
-    world.live()
+        world.advance(is_platform_lost=True)
+    early = instance.make_report()
+    world.advance()
     world.feed(maintenance.InstancesReported((early,)))
-    world.live(silent=['orders-1'])
-    world.live(silent=['orders-1'])
+    world.advance(silent=['orders-1'])
+    world.advance(silent=['orders-1'])
     assert world.state.instances['orders-1'].condition == 'returning'
 
 
--- a/tests/maintenance/test_waves_fuzz.py
+++ b/tests/maintenance/test_waves_fuzz.py
@@ -9,7 +9,7 @@
     rule,
 )
 
-from builders.waves import PLACES, PLAN, WALL_S, World
+from builders.waves import PLACES, PLAN, WALL_S, WaveSimulation
 from sardinemast import maintenance
 
 NAMES = tuple(place[0] for place in PLACES)
@@ -23,9 +23,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World()
+        self.world = WaveSimulation()
         for _ in range(7):
-            self.world.live()
+            self.world.advance()
         self.world.start_wave()
 
     @rule(
@@ -34,7 +34,7 @@
         lagging=st.sets(st.sampled_from(['entry-1', 'entry-2']), max_size=1),
         losses=st.tuples(st.booleans(), st.booleans(), st.booleans()),
     )
-    def live(
+    def advance(
         self,
         seconds: int,
         silent: set[str],
@@ -43,7 +43,7 @@
     ) -> None:
         """Let time pass with silent instances and lost answers."""
         for _ in range(seconds):
-            self.world.live(
+            self.world.advance(
                 silent,
                 lagging,
                 is_platform_lost=losses[0],
@@ -55,7 +55,7 @@
     def live_well(self, seconds: int) -> None:
         """Let time pass with nothing going wrong."""
         for _ in range(seconds):
-            self.world.live()
+            self.world.advance()
 
     @rule(name=_names, returns=st.booleans())
     def crash(self, name: str, returns: bool) -> None:
@@ -102,7 +102,7 @@
         """Cut an entry off until its lease and work bound have passed."""
         lagging = [self.world.entries[number].run.entry]
         for _ in range(seconds):
-            self.world.live(lagging=lagging, is_commit_late=True)
+            self.world.advance(lagging=lagging, is_commit_late=True)
 
     @rule(number=_entries)
     def restart_entry(self, number: int) -> None:
@@ -115,9 +115,9 @@
         self.world.change_leader(is_committed)
 
     @rule()
-    def wake_old_leader(self) -> None:
+    def run_deposed_leader(self) -> None:
         """Let the former leader act on what it knew."""
-        self.world.wake_old_leader()
+        self.world.run_deposed_leader()
 
     @rule(back=_positions)
     def repeat_request(self, back: int) -> None:
@@ -150,7 +150,7 @@
     def turn(self, pool: str, factor: int) -> None:
         """Let one pool ask for much and the others for little."""
         for _ in range(3):
-            self.world.live()
+            self.world.advance()
             self.world.feed(
                 maintenance.DemandReported(
                     tuple(
--- a/tests/placement/test_job_sessions.py
+++ b/tests/placement/test_job_sessions.py
@@ -3,19 +3,19 @@
 import pytest
 
 from builders import Session, check_golden
-from builders.jobs import TEAMS, JobWorld, make_request
+from builders.jobs import TEAMS, JobSimulation, make_request
 from sardinemast import placement
 
 _URGENT_GOAL_S = 1.3
 ROOMY = TEAMS[0]._replace(millicores_max=64_000)
 
 
-def _live(world: JobWorld, rounds: int) -> None:
+def _live(world: JobSimulation, rounds: int) -> None:
     for _ in range(rounds):
-        world.live()
+        world.advance()
 
 
-def _finish_all(world: JobWorld, outcome: placement.RunResult) -> None:
+def _finish_all(world: JobSimulation, outcome: placement.RunResult) -> None:
     for name in world.workers:
         world.finish(name, outcome)
 
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize('can_checkpoint', [False, True])
 def test_urgent_job_starts_at_once(can_checkpoint: bool) -> None:
     """Start an urgent job on a full fleet within 1.3 s."""
-    world = JobWorld()
+    world = JobSimulation()
     world.set_teams((ROOMY,))
     spare = placement.Priority.spare
     world.submit(
@@ -37,7 +37,7 @@
     world.submit(make_request('now', placement.Priority.urgent))
     started_s = world.now_s
     while not world.get_workers('now'):
-        world.live(step_s=0.1)
+        world.advance(step_s=0.1)
         assert world.now_s - started_s <= _URGENT_GOAL_S
 
 
@@ -47,10 +47,10 @@
     A job can never run. If it were tried for ever, it would take the place
     of others, and its workers would look bad.
     """
-    world = JobWorld()
+    world = JobSimulation()
     world.submit(make_request('bad'))
     for _ in range(12):
-        world.live()
+        world.advance()
         _finish_all(world, placement.RunResult.failed)
     job = world.state.jobs['bad']
     assert job.status is placement.JobStatus.set_aside
@@ -62,7 +62,7 @@
 
 def test_job_that_fits_nowhere_is_set_aside() -> None:
     """Tell the reason for a job that no worker could hold."""
-    world = JobWorld()
+    world = JobSimulation()
     world.submit(make_request('huge', millicores=9000))
     _live(world, 3)
     job = world.state.jobs['huge']
@@ -77,13 +77,13 @@
     A worker has a broken disk and ends each job at once with an error, so
     that it is always free and draws in the next. Callers see their jobs fail.
     """
-    world = JobWorld()
+    world = JobSimulation()
     world.set_teams((ROOMY,))
     world.workers['worker-2'].is_bad = True
     for number in range(24):
         world.submit(make_request(f'job-{number}', millicores=4000))
     for _ in range(30):
-        world.live()
+        world.advance()
         _finish_all(world, placement.RunResult.succeeded)
     aside = [
         worker.name
@@ -97,7 +97,7 @@
 
 def test_job_that_ran_out_of_memory_gets_more() -> None:
     """Double the memory after a run that ran out of it."""
-    world = JobWorld()
+    world = JobSimulation()
     world.submit(make_request('grows'))
     _live(world, 2)
     _finish_all(world, placement.RunResult.out_of_memory)
@@ -108,7 +108,7 @@
 
 def test_sizes_are_learned_from_ended_runs() -> None:
     """Take less room for a kind whose declared size is far too large."""
-    world = JobWorld()
+    world = JobSimulation()
     peak = placement.Size(500, 100)
     for number in range(5):
         world.submit(make_request(f'job-{number}'))
@@ -128,7 +128,7 @@
     A worker is cut off but runs on until its lease ends. A job that is
     started elsewhere before that runs twice and books twice.
     """
-    world = JobWorld()
+    world = JobSimulation()
     session = Session(lambda event, now_s: world.core.step(event, now_s))
     world.session = session
     world.submit(make_request('once'))
@@ -136,7 +136,7 @@
     worker = world.get_workers('once')[0]
     session.note(f'{worker} is cut off.')
     for _ in range(9):
-        world.live(silent=[worker])
+        world.advance(silent=[worker])
     session.note(f'It is back, and the job runs at {world.get_workers("once")}')
     _live(world, 2)
     session.note('The job is cancelled.')
@@ -149,7 +149,7 @@
 
 def test_cancelled_wave_is_one_command() -> None:
     """Cancel all of a team's kind by one command, for good."""
-    world = JobWorld()
+    world = JobSimulation()
     world.submit(*(make_request(f'job-{number}') for number in range(9)))
     _live(world, 3)
     world.commit(
@@ -167,7 +167,7 @@
     Two leaders in a row chose by the same picture. If both choices stood, a
     worker would run out of memory and a team would pass its limit.
     """
-    world = JobWorld()
+    world = JobSimulation()
     world.submit(*(make_request(f'job-{number}') for number in range(4)))
     for number, worker in enumerate(('1', '1', '2', '3')):
         placed = placement.commands.Placement(
@@ -187,10 +187,10 @@
     A late report arrives after the leader has given the worker's jobs away.
     With a fresh lease the worker would go on, and the jobs would run twice.
     """
-    world = JobWorld()
+    world = JobSimulation()
     late = world.workers['worker-1'].report(world.now_s)
     for _ in range(7):
-        world.live(silent=['worker-1'])
+        world.advance(silent=['worker-1'])
     assert world.state.workers['worker-1'].is_lease_ended
     assert not world.core.step(late, world.now_s)
 
@@ -201,7 +201,7 @@
     A roll-out breaks half of the workers at once. If all of them were set
     aside, and then the next, nothing would run anywhere.
     """
-    world = JobWorld()
+    world = JobSimulation()
     for name in ('worker-2', 'worker-3'):
         world.commit(
             placement.commands.SetWorkerAside(name, 1, 'failed'),
@@ -219,7 +219,7 @@
 ) -> None:
     """Keep the newest jobs that are over, the same ones in each replica."""
     monkeypatch.setattr('sardinemast.placement._state.MAX_ENDED', 3)
-    world = JobWorld()
+    world = JobSimulation()
     copied = placement.load_state(placement.dump_state(world.state))
     start = len(world.log)
     for number in (4, 1, 3, 0, 2):
@@ -240,7 +240,7 @@
     late. If its worker got more jobs meanwhile, all of them would run out of
     memory.
     """
-    world = JobWorld()
+    world = JobSimulation()
     world.set_teams((ROOMY,))
     for name in ('worker-2', 'worker-3', 'worker-4'):
         world.commit(placement.commands.DrainWorker('d', name))
--- a/tests/placement/test_jobs_fuzz.py
+++ b/tests/placement/test_jobs_fuzz.py
@@ -9,7 +9,7 @@
     rule,
 )
 
-from builders.jobs import PLACES, JobWorld
+from builders.jobs import PLACES, JobSimulation
 from sardinemast import placement
 
 _workers = st.sampled_from([place[0] for place in PLACES])
@@ -36,8 +36,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = JobWorld()
-        self.world.live()
+        self.world = JobSimulation()
+        self.world.advance()
 
     @rule(requests=st.lists(_requests, min_size=1, max_size=6))
     def submit(
@@ -52,7 +52,7 @@
         silent=st.sets(_workers, max_size=2),
         losses=st.tuples(st.booleans(), st.booleans()),
     )
-    def live(
+    def advance(
         self,
         rounds: int,
         silent: set[str],
@@ -60,7 +60,7 @@
     ) -> None:
         """Let time pass with workers cut off and requests lost."""
         for _ in range(rounds):
-            self.world.live(
+            self.world.advance(
                 silent,
                 is_ask_lost=losses[0],
                 is_commit_late=losses[1],
@@ -70,7 +70,7 @@
     def live_well(self, rounds: int) -> None:
         """Let time pass with nothing going wrong."""
         for _ in range(rounds):
-            self.world.live()
+            self.world.advance()
 
     @rule(name=_workers, outcome=st.sampled_from(list(placement.RunResult)))
     def finish(self, name: str, outcome: placement.RunResult) -> None:
@@ -85,7 +85,7 @@
     @rule(name=_workers)
     def restart(self, name: str) -> None:
         """Restart a worker."""
-        self.world.workers[name].lapse()
+        self.world.workers[name].restart()
 
     @rule(jobs=st.sets(st.integers(0, 11), max_size=4), is_all=st.booleans())
     def cancel(self, jobs: set[int], is_all: bool) -> None:
@@ -105,9 +105,9 @@
         self.world.change_leader(is_committed)
 
     @rule()
-    def wake_old_leader(self) -> None:
+    def run_deposed_leader(self) -> None:
         """Let the former leader ask for what it knew."""
-        self.world.wake_old_leader()
+        self.world.run_deposed_leader()
 
     @rule(back=st.integers(1, 40))
     def repeat_ask(self, back: int) -> None:
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -101,7 +101,7 @@
         async with self._locks[name]:
             # For its first 20 ms an interpreter can take no signal; whoever
             # starts processes has to start such a one again.
-            while not self.site.processes.has_hold_of(name, signal.SIGHUP):
+            while not self.site.processes.handles_signal(name, signal.SIGHUP):
                 await asyncio.sleep(_POLL_S)
             for _ in range(3):
                 self.site.processes.send_signal(name, signal.SIGHUP)
--- a/tests/storage/test_log_store.py
+++ b/tests/storage/test_log_store.py
@@ -135,6 +135,6 @@
         with pytest.raises(StorageError, match=r'storage\.E002'):
             store.append_entries(_ENTRIES[1:])
         files.fails_sync = False
-    files.power_loss()
+    files.lose_power()
     _, loaded = open_log_store(tmp_path, files.functions)
     assert loaded.entries == _ENTRIES[:1]
--- a/tests/storage/test_log_store_fuzz.py
+++ b/tests/storage/test_log_store_fuzz.py
@@ -70,13 +70,13 @@
         """Restart with a kill or a full disk during the start."""
         self.store = None
         if is_power_loss:
-            self.files.power_loss()
+            self.files.lose_power()
         self.files.kill_in = kill_in
         self.files.fail_in = fail_in
         try:
             open_log_store(self.folder, self.files.functions)[0].close()
         except (KilledError, StorageError):
-            self.files.power_loss()
+            self.files.lose_power()
         self.reopen()
 
     @rule(term=st.integers(1, 9), kill_in=_FAULT_STEPS, fail_in=_FAULT_STEPS)
@@ -171,7 +171,7 @@
 
     def teardown(self) -> None:
         """Check what is loaded after a power loss."""
-        self.files.power_loss()
+        self.files.lose_power()
         self.reopen()
         self.temporary_folder.cleanup()
 
