--- a/bench/in_force.py
+++ b/bench/in_force.py
@@ -36,7 +36,7 @@
                 partial(commands.apply, str(base), controls=fleet.controls)
             )
             for entry in fleet.entry_names:
-                wait_for(partial(_is_ready, fleet.get_entry(entry)))
+                wait_for(partial(_is_ready, fleet.get_entry_address(entry)))
             controls = fleet.controls.split(',')
             _print('healthy', [_grant(controls) for _ in range(_ROUNDS)])
             _measure_frozen(fleet, 'entry-1', controls)
--- a/tests/builders/jobs.py
+++ b/tests/builders/jobs.py
@@ -8,12 +8,12 @@
 from sardinemast import placement
 
 LEASE_S = 3.0
-ROOM = placement.Size(8000, 16_000, 1)
+CAPACITY = placement.Size(8000, 16_000, 1)
 TEAMS = (
     placement.Team('kerlann', 2, 16_000),
     placement.Team('atlas', 1, 6000),
 )
-PLACES = (
+WORKER_LOCATIONS = (
     ('worker-1', 'nord', 'r1'),
     ('worker-2', 'nord', 'r2'),
     ('worker-3', 'sud', 'r1'),
@@ -47,7 +47,7 @@
         self.incarnation = 1
         self.lease_until_s = LEASE_S
         self.is_up = True
-        self.is_bad = False
+        self.is_faulty = False
         self.runs: dict[int, placement.AskWorker] = {}
         self.throttled: set[int] = set()
         self.uses: dict[int, placement.Size] = {}
@@ -67,32 +67,32 @@
         peak: placement.Size | None = None,
     ) -> None:
         """End a run and store its result."""
-        ask = self.runs.pop(token, None)
-        if ask is not None:
+        request = self.runs.pop(token, None)
+        if request is not None:
             self.ends[token] = placement.commands.RunEnd(
-                ask.job,
+                request.job,
                 token,
                 outcome,
-                peak or ask.size,
+                peak or request.size,
             )
 
-    def carry_out(self, ask: placement.AskWorker, now_s: float) -> None:
+    def carry_out(self, request: placement.AskWorker, now_s: float) -> None:
         """Execute a request that is meant for this incarnation."""
-        if ask.incarnation != self.incarnation or not self.is_up:
+        if request.incarnation != self.incarnation or not self.is_up:
             return
         if now_s >= self.lease_until_s:
             return
-        if ask.action is placement.RunAction.start:
-            if ask.token not in self.ends:
-                self.runs[ask.token] = ask
-        elif ask.action is placement.RunAction.throttle:
-            if ask.token in self.runs:
-                self.throttled.add(ask.token)
-        elif ask.action is placement.RunAction.checkpoint:
-            self.end(ask.token, placement.RunResult.checkpointed)
-        elif ask.token not in self.ends:
-            self.runs.setdefault(ask.token, ask)
-            self.end(ask.token, placement.RunResult.stopped)
+        if request.action is placement.RunAction.start:
+            if request.token not in self.ends:
+                self.runs[request.token] = request
+        elif request.action is placement.RunAction.throttle:
+            if request.token in self.runs:
+                self.throttled.add(request.token)
+        elif request.action is placement.RunAction.checkpoint:
+            self.end(request.token, placement.RunResult.checkpointed)
+        elif request.token not in self.ends:
+            self.runs.setdefault(request.token, request)
+            self.end(request.token, placement.RunResult.stopped)
 
     def report(self, now_s: float) -> placement.WorkerReported:
         """Return the worker's report with the observed usage of its runs."""
@@ -120,16 +120,18 @@
         self.state = placement.PlacementState()
         self.core = _make_core(self.state)
         self._old_core = self.core
-        self.workers = {place[0]: SimulatedWorker(place[0]) for place in PLACES}
+        self.workers = {
+            place[0]: SimulatedWorker(place[0]) for place in WORKER_LOCATIONS
+        }
         self.proposals: list[placement.Command] = []
-        self.asked: list[placement.AskWorker] = []
-        self.asks: list[placement.AskWorker] = []
+        self.pending_requests: list[placement.AskWorker] = []
+        self.sent_requests: list[placement.AskWorker] = []
         self.events: list[placement.Event] = []
         self.session: Session | None = None
-        self.over: dict[str, placement.JobStatus] = {}
+        self.final_statuses: dict[str, placement.JobStatus] = {}
         self.set_teams(TEAMS)
-        for place in PLACES:
-            self._enter(place[0])
+        for place in WORKER_LOCATIONS:
+            self._register(place[0])
         self.core.step(placement.TermStarted(), 0)
 
     def set_teams(self, teams: tuple[placement.Team, ...]) -> None:
@@ -142,14 +144,14 @@
         self.log.append(command)
         placement.apply_command(self.state, command, len(self.log))
         for name, job in self.state.jobs.items():
-            known = self.over.get(name, job.status)
+            known = self.final_statuses.get(name, job.status)
             assert job.status is known, 'The final status of a job changed.'
             if job.status in {
                 placement.JobStatus.cancelled,
                 placement.JobStatus.done,
                 placement.JobStatus.set_aside,
             }:
-                self.over[name] = job.status
+                self.final_statuses[name] = job.status
 
     def commit_all(self) -> None:
         """Commit all pending proposals."""
@@ -187,8 +189,8 @@
         self,
         silent: Iterable[str] = (),
         *,
-        is_ask_lost: bool = False,
-        is_commit_late: bool = False,
+        loses_requests: bool = False,
+        commits_late: bool = False,
         step_s: float = 0.5,
     ) -> None:
         """Advance by a step in which the silent workers are unreachable."""
@@ -197,25 +199,25 @@
             if worker.is_up and self.now_s >= worker.lease_until_s:
                 worker.restart()
             if worker.is_up and worker.name not in set(silent):
-                self._enter(worker.name)
+                self._register(worker.name)
                 self.feed(worker.report(self.now_s))
-        if is_commit_late:
+        if commits_late:
             self.commit_all()
         self._tick()
-        if not is_commit_late:
+        if not commits_late:
             self.commit_all()
-        asked = tuple(self.asked)
-        self.asked.clear()
-        for ask in asked:
-            if ask.worker not in set(silent) and not is_ask_lost:
-                self.carry_out(ask)
+        pending_requests = tuple(self.pending_requests)
+        self.pending_requests.clear()
+        for request in pending_requests:
+            if request.worker not in set(silent) and not loses_requests:
+                self.carry_out(request)
             else:
-                self.asks.append(ask)
+                self.sent_requests.append(request)
 
-    def carry_out(self, ask: placement.AskWorker) -> None:
+    def carry_out(self, request: placement.AskWorker) -> None:
         """Deliver a request to its worker and check the invariants."""
-        self.asks.append(ask)
-        self.workers[ask.worker].carry_out(ask, self.now_s)
+        self.sent_requests.append(request)
+        self.workers[request.worker].carry_out(request, self.now_s)
         self.check()
 
     def finish(self, worker: str, outcome: placement.RunResult) -> None:
@@ -223,33 +225,37 @@
         one = self.workers[worker]
         for token in tuple(one.runs):
             failed = placement.RunResult.failed
-            one.end(token, failed if one.is_bad else outcome)
+            one.end(token, failed if one.is_faulty else outcome)
 
     def check(self) -> None:
         """Check the running jobs against limits and capacities."""
         running = [
-            ask
+            request
             for worker in self.workers.values()
             if worker.is_up
-            for ask in worker.runs.values()
+            for request in worker.runs.values()
         ]
-        by_job = Counter(ask.job for ask in running)
+        by_job = Counter(request.job for request in running)
         used: Counter[str] = Counter()
-        for ask in running:
-            job = self.state.jobs[ask.job]
+        for request in running:
+            job = self.state.jobs[request.job]
             if not job.may_overlap:
-                assert by_job[ask.job] == 1, 'A job runs twice at once.'
-            assert self.over.get(ask.job) is not CANCELLED, (
+                assert by_job[request.job] == 1, 'A job runs twice at once.'
+            assert self.final_statuses.get(request.job) is not CANCELLED, (
                 'A cancelled job runs.'
             )
-            used[job.team] += _get_taken(self, ask)
+            used[job.team] += _get_taken(self, request)
         for team in self.teams:
             assert used[team.name] <= team.millicores_max, (
                 'Team limit exceeded.'
             )
         for worker in self.workers.values():
-            taken = sum(_get_taken(self, ask) for ask in worker.runs.values())
-            assert taken <= ROOM.millicores, 'Capacity of a worker exceeded.'
+            taken = sum(
+                _get_taken(self, request) for request in worker.runs.values()
+            )
+            assert taken <= CAPACITY.millicores, (
+                'Capacity of a worker exceeded.'
+            )
 
     def submit(self, *requests: placement.commands.JobRequest) -> None:
         """Commit the submission of jobs."""
@@ -260,7 +266,7 @@
         return [
             worker.name
             for worker in self.workers.values()
-            if any(ask.job == job for ask in worker.runs.values())
+            if any(request.job == job for request in worker.runs.values())
         ]
 
     def _tick(self) -> None:
@@ -274,7 +280,7 @@
             if isinstance(output, placement.Propose):
                 self.proposals.append(output.command)
             elif isinstance(output, placement.AskWorker):
-                self.asked.append(output)
+                self.pending_requests.append(output)
             elif isinstance(output, placement.GrantLease):
                 self._renew(output)
 
@@ -288,11 +294,11 @@
         for token in granted.settled:
             worker.throttled.discard(token)
 
-    def _enter(self, name: str) -> None:
+    def _register(self, name: str) -> None:
         worker = self.workers[name]
         known = self.state.workers.get(name)
         if known is None or known.incarnation < worker.incarnation:
-            place = next(one for one in PLACES if one[0] == name)
+            place = next(one for one in WORKER_LOCATIONS if one[0] == name)
             worker.lease_until_s = self.now_s + LEASE_S
             self.commit(
                 placement.commands.EnterWorker(
@@ -301,7 +307,7 @@
                     'ouest',
                     place[1],
                     place[2],
-                    ROOM,
+                    CAPACITY,
                 ),
             )
 
@@ -309,9 +315,9 @@
 CANCELLED = placement.JobStatus.cancelled
 
 
-def _get_taken(world: JobSimulation, ask: placement.AskWorker) -> int:
-    run = world.state.runs.get(ask.token)
-    size = run.size if run is not None and run.is_throttled else ask.size
+def _get_taken(simulation: JobSimulation, request: placement.AskWorker) -> int:
+    run = simulation.state.runs.get(request.token)
+    size = run.size if run is not None and run.is_throttled else request.size
     return size.millicores
 
 
--- a/tests/builders/model_workers.py
+++ b/tests/builders/model_workers.py
@@ -36,10 +36,10 @@
         self.fence = 0
         self.expires_ms: float = 0
         self.running: dict[TaskKey, int] = {}
-        self.highest: dict[TaskKey, int] = {}
+        self.highest_numbers: dict[TaskKey, int] = {}
         self.ends: list[ReportedEnd] = []
-        self.paces: dict[TaskKey, int] = {}
-        self.gauges: dict[TaskKey, int] = {}
+        self.speeds_percent: dict[TaskKey, int] = {}
+        self.reported_gauges: dict[TaskKey, int] = {}
         self.percent = 100
         self.stop_delay_s: float = 0
         self.stopping: dict[TaskKey, float] = {}
@@ -81,7 +81,7 @@
         if isinstance(order, StopRun):
             self._stop(order, true_s)
         elif isinstance(order, ThrottleRun):
-            self.paces[order.task] = order.percent
+            self.speeds_percent[order.task] = order.percent
         return OrderOutcome.done, ''
 
     def _poll(self, order: PollWorker, true_s: float) -> WorkerReport:
@@ -98,7 +98,7 @@
                     number,
                     '',
                     self.percent,
-                    self.gauges.get(task, 0),
+                    self.reported_gauges.get(task, 0),
                 )
                 for task, number in self.running.items()
             ),
@@ -109,18 +109,18 @@
         self.expires_ms = max(self.expires_ms, order.expires_ms)
         if self.running.get(order.task) == order.number:
             return OrderOutcome.done, ''
-        if order.number <= self.highest.get(order.task, 0):
+        if order.number <= self.highest_numbers.get(order.task, 0):
             return OrderOutcome.refused, 'old'
         if order.expires_ms < self.get_clock_ms(true_s):
             return OrderOutcome.refused, 'late'
-        self.highest[order.task] = order.number
+        self.highest_numbers[order.task] = order.number
         self.running[order.task] = order.number
         return OrderOutcome.done, ''
 
     def _stop(self, order: StopRun, true_s: float) -> None:
-        self.highest[order.task] = max(
+        self.highest_numbers[order.task] = max(
             order.number,
-            self.highest.get(order.task, 0),
+            self.highest_numbers.get(order.task, 0),
         )
         if self.running.get(order.task) == order.number:
             due_s = true_s + self.stop_delay_s
--- a/tests/builders/processes.py
+++ b/tests/builders/processes.py
@@ -22,20 +22,20 @@
 from builders.certificates import write_certificate
 from sardinemast.exceptions import CodedError
 
-_PATIENCE_S = 30.0
+_TIMEOUT_S = 30.0
 _POLL_S = 0.05
-_LOG_SHOWN = 4000
+_LOG_TAIL_CHARS = 4000
 _PORTS = range(10_000, 32_000)
 # Each parallel test worker has its own range of ports: a port stays free
 # between its choice and the start of its process, so another test could
 # choose it too, and the process would fail with "address in use".
-_PARTS = 16
-_PART_PORTS = len(_PORTS) // _PARTS
+_RANGE_COUNT = 16
+_RANGE_SIZE = len(_PORTS) // _RANGE_COUNT
 _WORKER = int(os.environ.get('PYTEST_XDIST_WORKER', 'gw0').removeprefix('gw'))
-_FIRST_OWN = _PORTS[_WORKER % _PARTS * _PART_PORTS]
-_OWN_PORTS = range(_FIRST_OWN, _FIRST_OWN + _PART_PORTS)
+_FIRST_OWN_PORT = _PORTS[_WORKER % _RANGE_COUNT * _RANGE_SIZE]
+_OWN_PORTS = range(_FIRST_OWN_PORT, _FIRST_OWN_PORT + _RANGE_SIZE)
 # Recently chosen ports, which are not chosen again for the same reason.
-_given: deque[int] = deque(maxlen=_PART_PORTS // 2)
+_recent_ports: deque[int] = deque(maxlen=_RANGE_SIZE // 2)
 
 
 class Fleet:
@@ -61,7 +61,7 @@
             for name in self.control_names
         ]
         # Relay ports that replace peer ports, by (from, to) process names.
-        self.detours: dict[tuple[str, str], int] = {}
+        self.relay_ports: dict[tuple[str, str], int] = {}
         self._entry_ports = dict(zip(self.entry_names, ports, strict=True))
 
     @property
@@ -74,9 +74,9 @@
     @property
     def entries(self) -> str:
         """Return the caller addresses of all entries."""
-        return ','.join(map(self.get_entry, self.entry_names))
+        return ','.join(map(self.get_entry_address, self.entry_names))
 
-    def get_entry(self, name: str) -> str:
+    def get_entry_address(self, name: str) -> str:
         """Return the caller address of an entry."""
         return f'127.0.0.1:{self._entry_ports[name]}'
 
@@ -92,7 +92,9 @@
             'roles': [role],
             'data_centre': 'rennes',
             'data_folder': str(self.folder / name),
-            'controls': [self._detour(name, one) for one in self._controls],
+            'controls': [
+                self._apply_relay(name, one) for one in self._controls
+            ],
         }
         if role == 'entry':
             settings['callers'] = {'port': self._entry_ports[name]}
@@ -138,7 +140,7 @@
     def wait_until_serving(self) -> None:
         """Wait until each entry has a lease."""
         for name in self.entry_names:
-            wait_for(partial(_is_serving, self.get_entry(name)))
+            wait_for(partial(_is_serving, self.get_entry_address(name)))
 
     def kill(self, name: str) -> None:
         """Kill a process without a graceful shutdown."""
@@ -153,11 +155,13 @@
     def print_logs(self) -> None:
         """Print the end of each log to help diagnose a failure."""
         for path in sorted(self.folder.glob('*.log')):
-            shown = path.read_text()[-_LOG_SHOWN:]
+            shown = path.read_text()[-_LOG_TAIL_CHARS:]
             sys.stdout.write(f'--- {path.name}\n{shown}\n')
 
-    def _detour(self, name: str, control: dict[str, Any]) -> dict[str, Any]:
-        port = self.detours.get((name, control['name']))
+    def _apply_relay(
+        self, name: str, control: dict[str, Any]
+    ) -> dict[str, Any]:
+        port = self.relay_ports.get((name, control['name']))
         return {**control, 'peer': {'port': port}} if port else control
 
 
@@ -189,7 +193,7 @@
 
 def wait_for(action: Callable[[], Any]) -> Any:
     """Retry an action until its result is true, or time out."""
-    give_up_s = time.monotonic() + _PATIENCE_S
+    give_up_s = time.monotonic() + _TIMEOUT_S
     while True:
         try:
             found = action()
@@ -244,8 +248,10 @@
     while True:
         first = SystemRandom().choice(_OWN_PORTS[:-count])
         wanted = range(first, first + count)
-        if not any(port in _given for port in wanted) and _are_free(wanted):
-            _given.extend(wanted)
+        if not any(port in _recent_ports for port in wanted) and _are_free(
+            wanted
+        ):
+            _recent_ports.extend(wanted)
             return first
 
 
--- a/tests/builders/relays.py
+++ b/tests/builders/relays.py
@@ -19,12 +19,12 @@
         self._thread = threading.Thread(target=self._loop.run_forever)
         self._thread.start()
 
-    def detour(self, fleet: Fleet) -> None:
+    def route_through_relays(self, fleet: Fleet) -> None:
         """Route all streams between control processes through relays."""
         for pair in permutations(fleet.control_names, 2):
             relay = Relay('127.0.0.1', fleet.get_peer_port(pair[1]))
             self._relays[pair] = relay
-            fleet.detours[pair] = asyncio.run_coroutine_threadsafe(
+            fleet.relay_ports[pair] = asyncio.run_coroutine_threadsafe(
                 relay.listen(),
                 self._loop,
             ).result()
--- a/tests/builders/replicas.py
+++ b/tests/builders/replicas.py
@@ -39,8 +39,8 @@
 ELECTION_STEPS = 30
 _SETTLE_STEPS = 20
 _AGREE_STEPS = 5
-_PATIENCE = 25
-_SPREAD = 0.4
+_SETTLE_ROUNDS = 25
+_TIMEOUT_SPREAD = 0.4
 
 
 class Envelope(NamedTuple):
@@ -83,7 +83,7 @@
     """Narrow the random election timeouts, so that elections collide."""
 
     def random(self) -> float:
-        return _SPREAD * super().random()
+        return _TIMEOUT_SPREAD * super().random()
 
 
 class Node:
@@ -339,7 +339,7 @@
             node.kill_in = None
             if node.replica is None:
                 node.start()
-        for _ in range(_PATIENCE):
+        for _ in range(_SETTLE_ROUNDS):
             self.run(_SETTLE_STEPS)
             if self._has_converged():
                 return
--- a/tests/builders/teams.py
+++ b/tests/builders/teams.py
@@ -36,8 +36,8 @@
 class Controls:
     """Simulate three control cores and deliver messages between them.
 
-    While ``is_held``, messages are queued. Timeouts are long enough for a
-    test to advance in steps of a second.
+    While ``holds_messages``, messages are queued. Timeouts are long enough
+    for a test to advance in steps of a second.
     """
 
     def __init__(self) -> None:
@@ -53,8 +53,8 @@
             for number, name in enumerate(_NAMES)
         }
         self.frozen: set[str] = set()
-        self.is_held = False
-        self.to_entries: list[control.SendToEntry] = []
+        self.holds_messages = False
+        self.sent_to_entries: list[control.SendToEntry] = []
         self.answers: list[control.AnswerOperator] = []
         self._mail: deque[tuple[str, control.PeerMessageReceived]] = deque()
 
@@ -79,7 +79,7 @@
 
     def deliver(self, now_s: float) -> None:
         """Deliver messages between cores until the queue is empty."""
-        while self._mail and not self.is_held:
+        while self._mail and not self.holds_messages:
             name, event = self._mail.popleft()
             if name not in self.frozen:
                 self._take(name, self.cores[name].step(event, now_s))
@@ -90,7 +90,7 @@
                 event = control.PeerMessageReceived(name, output.message)
                 self._mail.append((output.to, event))
             elif isinstance(output, control.SendToEntry):
-                self.to_entries.append(output)
+                self.sent_to_entries.append(output)
             elif isinstance(output, control.AnswerOperator):
                 self.answers.append(output)
 
--- a/tests/builders/upstreams.py
+++ b/tests/builders/upstreams.py
@@ -11,7 +11,7 @@
 from sardinemast.routing import StartAttempt
 from sardinemast.shell._upstream_client import CallerRequest
 
-Play = Callable[
+Script = Callable[
     [asyncio.StreamReader, asyncio.StreamWriter, int],
     Awaitable[None],
 ]
@@ -20,7 +20,7 @@
 
 
 @asynccontextmanager
-async def run_script(play: Play) -> AsyncIterator[Announcement]:
+async def serve_script(script: Script) -> AsyncIterator[Announcement]:
     """Serve each connection by a script, called with its number."""
     count = 0
 
@@ -31,7 +31,7 @@
         nonlocal count
         count += 1
         with suppress(asyncio.IncompleteReadError, OSError):
-            await play(reader, writer, count)
+            await script(reader, writer, count)
         writer.close()
 
     server = await asyncio.start_server(accept, '127.0.0.1', 0)
@@ -42,10 +42,10 @@
         server.close()
 
 
-def answer_with(*answers: bytes) -> Play:
+def answer_with(*answers: bytes) -> Script:
     """Return a script that sends the responses in turn, then closes."""
 
-    async def play(
+    async def script(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         number: int,
@@ -55,7 +55,7 @@
             writer.write(answer)
             await writer.drain()
 
-    return play
+    return script
 
 
 async def read_request(reader: asyncio.StreamReader) -> bytes:
--- a/tests/builders/waves.py
+++ b/tests/builders/waves.py
@@ -8,7 +8,7 @@
 
 LEASE_S = 3.0
 WORK_BOUND_S = 4.0
-WALL_S = 1_000_000.0
+START_WALL_S = 1_000_000.0
 SETTINGS = maintenance.MaintenanceSettings(
     suspect_after_s=2.5,
     down_after_s=3,
@@ -29,7 +29,7 @@
     (maintenance.DomainBudget(maintenance.DomainKind.data_centre, 3),),
     'spare',
 )
-PLACES = (
+INSTANCE_LOCATIONS = (
     ('orders-1', 'nord', 'r1', 'orders'),
     ('orders-2', 'nord', 'r2', 'orders'),
     ('orders-3', 'sud', 'r1', 'orders'),
@@ -141,22 +141,23 @@
         self.core = _make_core(self.state)
         self.old_core = self.core
         self.instances = {
-            name: SimulatedInstance(name, pool) for name, _, _, pool in PLACES
+            name: SimulatedInstance(name, pool)
+            for name, _, _, pool in INSTANCE_LOCATIONS
         }
         self.entries = [
             SimulatedEntry('entry-1', 1),
             SimulatedEntry('entry-2', 1),
         ]
-        self.gone: list[SimulatedEntry] = []
+        self.stopped_entries: list[SimulatedEntry] = []
         self.proposals: list[maintenance.Command] = []
-        self.asked: list[maintenance.AskPlatform] = []
+        self.pending_requests: list[maintenance.AskPlatform] = []
         self.record = Record()
         self.session: Session | None = None
         self.commit(maintenance.commands.SetBudgets('b', BUDGETS))
-        for name, data_centre, rack, pool in PLACES:
+        for name, data_centre, rack, pool in INSTANCE_LOCATIONS:
             self.commit(
                 maintenance.commands.EnrolInstance(
-                    name, 'ouest', data_centre, rack, pool, WALL_S
+                    name, 'ouest', data_centre, rack, pool, START_WALL_S
                 )
             )
         self.core.step(maintenance.TermStarted(), self.now_s)
@@ -189,7 +190,7 @@
                 if isinstance(output, maintenance.Propose):
                     self.proposals.append(output.command)
                 elif isinstance(output, maintenance.AskPlatform):
-                    self.asked.append(output)
+                    self.pending_requests.append(output)
                 else:
                     self.record.reports.append(output)
 
@@ -208,7 +209,7 @@
 
     def run_deposed_leader(self) -> None:
         """Tick a deposed leader, which can send requests but not commit."""
-        wall_s = WALL_S + self.now_s
+        wall_s = START_WALL_S + self.now_s
         for output in self.old_core.step(maintenance.Tick(wall_s), self.now_s):
             if isinstance(output, maintenance.AskPlatform):
                 self.carry_out(output)
@@ -218,9 +219,9 @@
         silent: Iterable[str] = (),
         lagging: Iterable[str] = (),
         *,
-        is_platform_lost: bool = False,
-        is_answer_lost: bool = False,
-        is_commit_late: bool = False,
+        loses_requests: bool = False,
+        loses_responses: bool = False,
+        commits_late: bool = False,
     ) -> None:
         """Advance by a second.
 
@@ -232,17 +233,17 @@
             if entry.run.entry not in set(lagging):
                 self.renew(entry)
         self._end_leases()
-        if is_commit_late:
+        if commits_late:
             self.commit_all()
-        self.feed(maintenance.Tick(WALL_S + self.now_s))
-        if not is_commit_late:
+        self.feed(maintenance.Tick(START_WALL_S + self.now_s))
+        if not commits_late:
             self.commit_all()
-        requests = tuple(self.asked)
-        self.asked.clear()
+        requests = tuple(self.pending_requests)
+        self.pending_requests.clear()
         for request in requests:
-            if not is_platform_lost:
+            if not loses_requests:
                 self.carry_out(request)
-                if not is_answer_lost:
+                if not loses_responses:
                     self.feed(maintenance.PlatformAnswered(request.request_id))
 
     def carry_out(self, request: maintenance.AskPlatform) -> None:
@@ -300,24 +301,24 @@
     def start_wave(self, plan: maintenance.WavePlan = PLAN) -> None:
         """Commit the start of a wave."""
         self.commit(
-            maintenance.commands.StartWave('s', plan, WALL_S + self.now_s)
+            maintenance.commands.StartWave('s', plan, START_WALL_S + self.now_s)
         )
 
     def restart_entry(self, number: int) -> None:
         """Replace an entry by a new incarnation; its work keeps running."""
         old = self.entries[number]
         old.is_alive = False
-        self.gone.append(old)
+        self.stopped_entries.append(old)
         run = old.run
         self.entries[number] = SimulatedEntry(run.entry, run.incarnation + 1)
 
     def _step(self, event: maintenance.Event) -> list[maintenance.Output]:
         if self.session is not None and isinstance(event, maintenance.Tick):
-            self._note_conditions()
+            self._record_conditions()
             return self.session.step(event, self.now_s)
         return self.core.step(event, self.now_s)
 
-    def _note_conditions(self) -> None:
+    def _record_conditions(self) -> None:
         shown = ', '.join(
             f'{one.name} in {one.pool}: {one.condition}'
             for one in self.state.instances.values()
@@ -331,15 +332,15 @@
             self.session.note(f'{waves}; {shown or "all serve"}')
 
     def _report_instances(self, silent: set[str]) -> None:
-        told = []
+        instance_reports = []
         for one in self.instances.values():
             if one.is_up and one.name not in silent:
                 one.pool = self.state.instances[one.name].pool
-                told.append(one.make_report())
-        self.feed(maintenance.InstancesReported(tuple(told)))
+                instance_reports.append(one.make_report())
+        self.feed(maintenance.InstancesReported(tuple(instance_reports)))
 
     def _end_leases(self) -> None:
-        for entry in (*self.gone, *self.entries):
+        for entry in (*self.stopped_entries, *self.entries):
             if self.now_s >= entry.lease_until_s + WORK_BOUND_S:
                 self.feed(maintenance.LeaseSurelyEnded(entry.run))
 
@@ -414,7 +415,7 @@
     assert len(up) - reserve >= budget.serving_min, (
         'Too few instances are serving.'
     )
-    near = [
+    out_of_service = [
         one
         for one in state.instances.values()
         if one.data_centre == taken.data_centre
@@ -422,4 +423,6 @@
         and (one.pool, one.condition)
         != ('spare', maintenance.Condition.set_aside)
     ]
-    assert len(near) <= BUDGETS.domains[0].down_max, 'Domain budget exceeded.'
+    assert len(out_of_service) <= BUDGETS.domains[0].down_max, (
+        'Domain budget exceeded.'
+    )
--- a/tests/builders/workers.py
+++ b/tests/builders/workers.py
@@ -120,7 +120,7 @@
     return step._replace(**changes)
 
 
-class _Waiting(NamedTuple):
+class _PendingOutput(NamedTuple):
     """An output of the dispatcher and the time of its response."""
 
     order: Any
@@ -130,8 +130,9 @@
 class ModelFleet:
     """Simulate a leader's dispatcher, its log and its workers.
 
-    Orders to an unreachable worker are kept in ``late``, so that a test can
-    deliver them later. While ``is_held``, proposals are not committed.
+    Orders to an unreachable worker are kept in ``undelivered_orders``, so
+    that a test can deliver them later. While ``is_held``, proposals are not
+    committed.
     """
 
     def __init__(self, worker_count: int = 2, **worker: Any) -> None:
@@ -145,12 +146,12 @@
         self.workers: dict[str, ModelWorker] = {}
         self.is_held = False
         self.proposed: deque[Command] = deque()
-        self.late: list[tuple[ModelWorker, Any]] = []
+        self.undelivered_orders: list[tuple[ModelWorker, Any]] = []
         self.started: list[StartRun] = []
         self.policy = ModelPolicy()
         self.instances = ModelInstances()
         self.logged: list[str] = []
-        self._waiting: list[_Waiting] = []
+        self._waiting: list[_PendingOutput] = []
         self.commit(PutCatalog(make_catalog(), b'{}'))
         for number in range(worker_count):
             self.add_worker(make_worker(number, **worker))
@@ -247,17 +248,17 @@
             elif isinstance(output, OrderMaintenance):
                 self.instances.maintenance_orders.append(output.instance)
                 self._note_order(output)
-                self._waiting.append(_Waiting(output, self.now_s))
+                self._waiting.append(_PendingOutput(output, self.now_s))
             elif isinstance(output, RequestAdvice):
                 self.policy.questions.append(output)
                 answer_s = self.now_s + ADVICE_S
-                self._waiting.append(_Waiting(output, answer_s))
+                self._waiting.append(_PendingOutput(output, answer_s))
             elif isinstance(output, OrderMove):
                 self.instances.moves.append(output)
                 self._note_order(output)
-                self._waiting.append(_Waiting(output, self.now_s))
+                self._waiting.append(_PendingOutput(output, self.now_s))
             elif isinstance(output, ListInstances):
-                self._waiting.append(_Waiting(output, self.now_s))
+                self._waiting.append(_PendingOutput(output, self.now_s))
             else:
                 self._send(output)
         if not self.is_held:
@@ -276,7 +277,7 @@
             due_s += order.timeout_s
         elif isinstance(order, PollWorker):
             due_s += order.wait_ms / _MS
-        self._waiting.append(_Waiting(order, due_s))
+        self._waiting.append(_PendingOutput(order, due_s))
 
     def _answer_due(self) -> None:
         waiting = self._waiting
@@ -287,7 +288,7 @@
             else:
                 self._waiting.append(one)
 
-    def _is_due(self, waiting: _Waiting) -> bool:
+    def _is_due(self, waiting: _PendingOutput) -> bool:
         if isinstance(waiting.order, PollWorker):
             model = self.workers.get(waiting.order.worker.name)
             if model is not None and not model.is_unreachable and model.ends:
@@ -356,7 +357,7 @@
             if model.loses_responses:
                 outcome, body = OrderOutcome.unknown, None
         elif model is not None:
-            self.late.append((model, order))
+            self.undelivered_orders.append((model, order))
         if isinstance(order, PollWorker):
             answer = body if isinstance(body, WorkerReport) else None
             sent_s = order.sent_s
--- a/tests/dispatch/test_dispatch_fuzz.py
+++ b/tests/dispatch/test_dispatch_fuzz.py
@@ -80,9 +80,11 @@
     @rule(index=st.integers(0, 50))
     def execute_late_order(self, index: int) -> None:
         """Execute an unanswered order late."""
-        late = self.fleet.late
-        if late:
-            model, order = late.pop(index % len(late))
+        undelivered_orders = self.fleet.undelivered_orders
+        if undelivered_orders:
+            model, order = undelivered_orders.pop(
+                index % len(undelivered_orders)
+            )
             if model is self.fleet.workers[model.worker.name]:
                 model.carry_out(order, self.fleet.now_s)
 
--- a/tests/dispatch/test_leases.py
+++ b/tests/dispatch/test_leases.py
@@ -69,7 +69,7 @@
         model.is_unreachable = False
     fleet.run(8)
     assert len(fleet.get_running_workers(TASK)) == 1
-    for model, order in fleet.late:
+    for model, order in fleet.undelivered_orders:
         outcome, _ = model.carry_out(order, fleet.now_s)
         assert outcome is OrderOutcome.refused
     assert len(fleet.get_running_workers(TASK)) == 1
--- a/tests/entry/test_limits_fuzz.py
+++ b/tests/entry/test_limits_fuzz.py
@@ -173,7 +173,7 @@
             ids = sorted(self.streams)
             self._deliver_to_control(self.streams[ids[choice % len(ids)]][1])
         elif kind == 'hold replication':
-            self.controls.is_held = not self.controls.is_held
+            self.controls.holds_messages = not self.controls.holds_messages
             self.controls.deliver(self.now_s)
         elif kind == 'change leader':
             self._change_leader()
@@ -183,7 +183,7 @@
     @rule(time_s=st.sampled_from((0.3, 3.0)))
     def recover(self, time_s: float) -> None:
         """End all failures and let time pass."""
-        self.controls.is_held = False
+        self.controls.holds_messages = False
         self.controls.deliver(self.now_s)
         self._queue_sent_messages()
         self.slow_streams.clear()
@@ -259,7 +259,7 @@
                 node.stream = None
 
     def _change_leader(self) -> None:
-        self.controls.is_held = False
+        self.controls.holds_messages = False
         self.controls.deliver(self.now_s)
         self._queue_sent_messages()
         self.controls.frozen = {self.controls.get_leader(self.now_s)}
@@ -332,11 +332,11 @@
             self._process_outputs(node, node.receive_from_control(self.now_s))
 
     def _queue_sent_messages(self) -> None:
-        for sent in self.controls.to_entries:
+        for sent in self.controls.sent_to_entries:
             known = self.streams.get(sent.stream_id)
             if known is not None:
                 known[1].down.append(sent.message)
-        self.controls.to_entries.clear()
+        self.controls.sent_to_entries.clear()
 
     def _ask(self, command: object, request_id: int = 0) -> None:
         leader = self.controls.get_leader(self.now_s)
--- a/tests/grants/test_releases.py
+++ b/tests/grants/test_releases.py
@@ -37,13 +37,13 @@
     for _ in range(7):
         now_s += 1
         controls.tick(now_s)
-    controls.is_held = True
+    controls.holds_messages = True
     controls.tick(now_s + 1)
-    controls.to_entries.clear()
+    controls.sent_to_entries.clear()
     controls.step(leader, renewal, now_s + 1.1)
-    messages = [sent.message for sent in controls.to_entries]
+    messages = [sent.message for sent in controls.sent_to_entries]
     assert not any(isinstance(one, LeaseGranted) for one in messages)
-    controls.is_held = False
+    controls.holds_messages = False
     controls.deliver(now_s + 1.2)
     controls.tick(now_s + 2.2)
     assert not controls.cores[leader].state.grants
--- a/tests/placement/test_jobs_fuzz.py
+++ b/tests/placement/test_jobs_fuzz.py
@@ -9,10 +9,10 @@
     rule,
 )
 
-from builders.jobs import PLACES, JobSimulation
+from builders.jobs import WORKER_LOCATIONS, JobSimulation
 from sardinemast import placement
 
-_workers = st.sampled_from([place[0] for place in PLACES])
+_workers = st.sampled_from([place[0] for place in WORKER_LOCATIONS])
 _requests = st.builds(
     placement.commands.JobRequest,
     name=st.sampled_from([f'job-{number}' for number in range(12)]),
@@ -36,8 +36,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = JobSimulation()
-        self.world.advance()
+        self.simulation = JobSimulation()
+        self.simulation.advance()
 
     @rule(requests=st.lists(_requests, min_size=1, max_size=6))
     def submit(
@@ -45,7 +45,9 @@
         requests: list[placement.commands.JobRequest],
     ) -> None:
         """Take in jobs."""
-        self.world.commit(placement.commands.SubmitJobs('s', tuple(requests)))
+        self.simulation.commit(
+            placement.commands.SubmitJobs('s', tuple(requests))
+        )
 
     @rule(
         rounds=st.integers(1, 8),
@@ -60,37 +62,37 @@
     ) -> None:
         """Let time pass with workers cut off and requests lost."""
         for _ in range(rounds):
-            self.world.advance(
+            self.simulation.advance(
                 silent,
-                is_ask_lost=losses[0],
-                is_commit_late=losses[1],
+                loses_requests=losses[0],
+                commits_late=losses[1],
             )
 
     @rule(rounds=st.integers(1, 4))
     def live_well(self, rounds: int) -> None:
         """Let time pass with nothing going wrong."""
         for _ in range(rounds):
-            self.world.advance()
+            self.simulation.advance()
 
     @rule(name=_workers, outcome=st.sampled_from(list(placement.RunResult)))
     def finish(self, name: str, outcome: placement.RunResult) -> None:
         """Let what runs on a worker end."""
-        self.world.finish(name, outcome)
+        self.simulation.finish(name, outcome)
 
-    @rule(name=_workers, is_bad=st.booleans())
-    def spoil(self, name: str, is_bad: bool) -> None:
+    @rule(name=_workers, is_faulty=st.booleans())
+    def spoil(self, name: str, is_faulty: bool) -> None:
         """Make a worker fail everything, or repair it."""
-        self.world.workers[name].is_bad = is_bad
+        self.simulation.workers[name].is_faulty = is_faulty
 
     @rule(name=_workers)
     def restart(self, name: str) -> None:
         """Restart a worker."""
-        self.world.workers[name].restart()
+        self.simulation.workers[name].restart()
 
     @rule(jobs=st.sets(st.integers(0, 11), max_size=4), is_all=st.booleans())
     def cancel(self, jobs: set[int], is_all: bool) -> None:
         """Cancel some jobs, or all of a team's kind."""
-        self.world.commit(
+        self.simulation.commit(
             placement.commands.CancelJobs(
                 'c',
                 tuple(f'job-{number}' for number in sorted(jobs)),
@@ -102,48 +104,50 @@
     @rule(is_committed=st.booleans())
     def change_leader(self, is_committed: bool) -> None:
         """Let another process lead."""
-        self.world.change_leader(is_committed)
+        self.simulation.change_leader(is_committed)
 
     @rule()
     def run_deposed_leader(self) -> None:
         """Let the former leader ask for what it knew."""
-        self.world.run_deposed_leader()
+        self.simulation.run_deposed_leader()
 
     @rule(back=st.integers(1, 40))
     def repeat_ask(self, back: int) -> None:
         """Carry an old request to its worker once more."""
-        if back <= len(self.world.asks):
-            self.world.carry_out(self.world.asks[-back])
+        if back <= len(self.simulation.sent_requests):
+            self.simulation.carry_out(self.simulation.sent_requests[-back])
 
     @rule(back=st.integers(1, 40))
     def repeat_report(self, back: int) -> None:
         """Tell the leader again what was told long ago."""
-        if back <= len(self.world.events):
-            self.world.feed(self.world.events[-back], is_kept=False)
+        if back <= len(self.simulation.events):
+            self.simulation.feed(self.simulation.events[-back], is_kept=False)
 
     @rule(name=_workers, memory_bytes=st.sampled_from([500, 9000, 15_000]))
     def use(self, name: str, memory_bytes: int) -> None:
         """Let the runs on a worker take other memory than was kept."""
-        worker = self.world.workers[name]
+        worker = self.simulation.workers[name]
         for token in worker.runs:
             worker.uses[token] = placement.Size(0, memory_bytes)
 
     @rule(name=_workers, is_over=st.booleans())
     def drain(self, name: str, is_over: bool) -> None:
         """Drain a worker, or end that."""
-        self.world.commit(placement.commands.DrainWorker('d', name, is_over))
+        self.simulation.commit(
+            placement.commands.DrainWorker('d', name, is_over)
+        )
 
     @invariant()
     def truth_holds(self) -> None:
         """Check what truly runs."""
-        self.world.check()
+        self.simulation.check()
 
     @invariant()
     def few_are_set_aside(self) -> None:
         """Never empty the fleet by setting workers aside."""
         aside = [
             worker
-            for worker in self.world.state.workers.values()
+            for worker in self.simulation.state.workers.values()
             if worker.status is placement.WorkerStatus.set_aside
         ]
         assert len(aside) <= 1
--- a/tests/processes/test_credentials.py
+++ b/tests/processes/test_credentials.py
@@ -81,7 +81,7 @@
     finally:
         fleet.authority = own
     health = wait_for(
-        lambda: call(fleet.get_entry('entry-9'), '/-/health'),
+        lambda: call(fleet.get_entry_address('entry-9'), '/-/health'),
     )
     log = fleet.folder / 'entry-9.log'
     wait_for(lambda: 'CERTIFICATE_VERIFY_FAILED' in log.read_text())
--- a/tests/processes/test_cuts.py
+++ b/tests/processes/test_cuts.py
@@ -46,7 +46,9 @@
     base.write_text(_BASE)
     with (
         run_relays() as relays,
-        run_fleet(tmp_path, entry_count=0, prepare=relays.detour) as fleet,
+        run_fleet(
+            tmp_path, entry_count=0, prepare=relays.route_through_relays
+        ) as fleet,
     ):
         apply = partial(commands.apply, str(base))
         wait_for(partial(apply, controls=fleet.controls))
--- a/tests/processes/test_in_force.py
+++ b/tests/processes/test_in_force.py
@@ -21,7 +21,7 @@
     base.write_text(_BASE)
     wait_for(partial(commands.apply, str(base), controls=fleet.controls))
     for name in fleet.entry_names:
-        wait_for(partial(_is_ready, fleet.get_entry(name)))
+        wait_for(partial(_is_ready, fleet.get_entry_address(name)))
     answer = commands.grant_key('petits-pixels', 'k1', controls=fleet.controls)
     return str(answer['key'])
 
@@ -41,7 +41,7 @@
         fleet.signal('entry-1', signal.SIGSTOP)
         answer = commands.withdraw_key('k1', controls=fleet.controls)
         fleet.signal('entry-1', signal.SIGCONT)
-        response = call(fleet.get_entry('entry-1'), '/enrolment/', key)
+        response = call(fleet.get_entry_address('entry-1'), '/enrolment/', key)
     assert answer['entries_in_force'] == answer['entries_total'] == 2
     code = json.loads(response.body)['code']
     assert code in {'admission.E002', 'admission.E006'}
@@ -51,7 +51,7 @@
     """Give the whole answer of an upstream that is told to stop meanwhile."""
     with run_fleet(tmp_path, entry_count=1) as fleet:
         key = _prepare(fleet, tmp_path)
-        address = fleet.get_entry('entry-1')
+        address = fleet.get_entry_address('entry-1')
         fleet.start_upstream('enrol-1')
         wait_for(partial(_is_served, address, key))
         fleet.signal('enrol-1', signal.SIGTERM)
--- a/tests/processes/test_requests.py
+++ b/tests/processes/test_requests.py
@@ -79,7 +79,7 @@
 
 def _wait_until_served(fleet: Fleet, key: str) -> None:
     for name in fleet.entry_names:
-        address = fleet.get_entry(name)
+        address = fleet.get_entry_address(name)
         wait_for(partial(_is_served, address, key))
         # An entry serves before it has heard the others' keys. If another one
         # is lost in between, both are missed, and keys are refused.
@@ -124,7 +124,7 @@
     upstream = _start(fleet, 'enrolment')
     _wait_until_served(fleet, key)
     answers = [
-        wait_for(partial(_get_served, fleet.get_entry(name), key))
+        wait_for(partial(_get_served, fleet.get_entry_address(name), key))
         for name in fleet.entry_names
     ]
     assert len({answer.body for answer in answers}) == 1
@@ -150,16 +150,16 @@
     _wait_until_served(fleet, key)
     with ThreadPoolExecutor() as threads:
         first: Future[HTTPResponse] = threads.submit(
-            _book, fleet.get_entry('entry-1'), key
+            _book, fleet.get_entry_address('entry-1'), key
         )
         wait_for(lambda: _count_runs(upstream))
         fleet.kill('entry-1')
-        resent = _book(fleet.get_entry('entry-2'), key)
+        resent = _book(fleet.get_entry_address('entry-2'), key)
         assert _get_code(resent) == 'idempotency.E003'
         assert first.exception()
     fleet.start('entry-1')
     for name in fleet.entry_names:
-        address = fleet.get_entry(name)
+        address = fleet.get_entry_address(name)
         wait_for(partial(_is_unknown, address, key))
     assert _count_runs(upstream) == 1
 
@@ -171,10 +171,10 @@
     _wait_until_served(fleet, key)
     fleet.signal('entry-1', signal.SIGSTOP)
     for name in ('entry-2', 'entry-3'):
-        address = fleet.get_entry(name)
+        address = fleet.get_entry_address(name)
         wait_for(partial(_get_served, address, key))
     fleet.signal('entry-1', signal.SIGCONT)
-    wait_for(lambda: _get_served(fleet.get_entry('entry-1'), key))
+    wait_for(lambda: _get_served(fleet.get_entry_address('entry-1'), key))
     assert _count_runs(upstream) == 1
 
 
@@ -193,7 +193,7 @@
     fleet.kill('entry-3')
     fleet.signal('entry-1', signal.SIGSTOP)
     fleet.start('entry-3')
-    address = fleet.get_entry('entry-3')
+    address = fleet.get_entry_address('entry-3')
     wait_for(partial(_is_served, address, key))
     assert not _holds_keys(address)
     assert _get_code(_book(address, key)) == 'idempotency.E004'
@@ -212,7 +212,7 @@
     for pool in _POOLS:
         _start(fleet, pool, f'--behaviour={pool}')
     _wait_until_served(fleet, key)
-    address = fleet.get_entry('entry-1')
+    address = fleet.get_entry_address('entry-1')
     found = {
         pool: wait_for(partial(_ask_known, address, pool, key))
         for pool in _POOLS[1:]
@@ -258,7 +258,7 @@
             'enrolment-1', f'--port={port}', f'--announced_port={relay.port}'
         )
         _wait_until_served(fleet, key)
-        address = fleet.get_entry('entry-1')
+        address = fleet.get_entry_address('entry-1')
         assert _is_served(address, key)
         relay.forget()
         assert _is_served(address, key)
@@ -278,7 +278,7 @@
         _wait_until_served(fleet, key)
         relay.forget()
         time.sleep(MAX_IDLE_S)
-        address = fleet.get_entry('entry-1')
+        address = fleet.get_entry_address('entry-1')
         assert _ask(address, 'enrolment', key)[0] == HTTPStatus.OK
 
 
@@ -291,7 +291,7 @@
     key = _declare(fleet)
     _start(fleet, 'enrolment', '--delay_s=0.3')
     _wait_until_served(fleet, key)
-    address = fleet.get_entry('entry-1')
+    address = fleet.get_entry_address('entry-1')
     with ThreadPoolExecutor(_CALLERS) as threads:
         callers = [
             threads.submit(_call_until_refused, address, key)
@@ -318,7 +318,7 @@
     key = _declare(fleet)
     _start(fleet, 'enrolment')
     _wait_until_served(fleet, key)
-    address = fleet.get_entry('entry-1')
+    address = fleet.get_entry_address('entry-1')
     large = b'x' * (2 * 1024 * 1024)
     found = {
         'no key': _refuse(address, '/enrolment/x', ''),
--- a/tests/processes/test_whole_path.py
+++ b/tests/processes/test_whole_path.py
@@ -35,7 +35,7 @@
     base.write_text(_BASE)
     wait_for(lambda: commands.apply(str(base), controls=fleet.controls))
     for name in fleet.entry_names:
-        wait_for(partial(_is_ready, fleet.get_entry(name)))
+        wait_for(partial(_is_ready, fleet.get_entry_address(name)))
 
 
 def _is_ready(address: str) -> bool:
@@ -55,7 +55,7 @@
     """A request gets the whole answer through each entry."""
     key = _grant(fleet, 'any-entry')
     for name in fleet.entry_names:
-        address = fleet.get_entry(name)
+        address = fleet.get_entry_address(name)
         response = wait_for(partial(_get_served, address, key))
         assert json.loads(response.body)['uri'] == '/enrolment/roster?day=6'
 
@@ -71,7 +71,7 @@
     answer = commands.withdraw_key('withdrawn', controls=fleet.controls)
     assert answer['entries_in_force'] == answer['entries_total']
     for name in fleet.entry_names:
-        response = call(fleet.get_entry(name), '/enrolment/roster', key)
+        response = call(fleet.get_entry_address(name), '/enrolment/roster', key)
         assert json.loads(response.body)['code'] == 'admission.E002'
 
 
@@ -84,7 +84,9 @@
 def test_latencies_of_entries_are_merged(fleet: Fleet) -> None:
     """Requests through two entries are counted together by team."""
     key = _grant(fleet, 'measured')
-    addresses = [fleet.get_entry(name) for name in fleet.entry_names[:2]]
+    addresses = [
+        fleet.get_entry_address(name) for name in fleet.entry_names[:2]
+    ]
     for address in addresses:
         wait_for(partial(_get_served, address, key))
     found = queries.latencies(*addresses)['latencies']
--- a/tests/shell/test_upstream_client.py
+++ b/tests/shell/test_upstream_client.py
@@ -8,12 +8,12 @@
 
 from builders.upstreams import (
     WHOLE,
-    Play,
+    Script,
     answer_with,
     make_request,
     make_start,
     read_request,
-    run_script,
+    serve_script,
 )
 from sardinemast.routing import AttemptResult
 from sardinemast.shell import _connection_pool
@@ -30,10 +30,10 @@
     return asyncio.run(coroutine)
 
 
-def _send_once(play: Play, method: str = 'POST', **options: Any) -> Attempt:
+def _send_once(script: Script, method: str = 'POST', **options: Any) -> Attempt:
     async def run() -> Attempt:
         client = UpstreamClient()
-        async with run_script(play) as upstream:
+        async with serve_script(script) as upstream:
             start = make_start(upstream, **options)
             return await client.send(start, make_request(method))
 
@@ -91,10 +91,10 @@
     assert attempt.response.body == body
 
 
-def _send_twice(play: Play, *, pause_s: float = 0.05) -> list[Attempt]:
+def _send_twice(script: Script, *, pause_s: float = 0.05) -> list[Attempt]:
     async def run() -> list[Attempt]:
         client = UpstreamClient()
-        async with run_script(play) as upstream:
+        async with serve_script(script) as upstream:
             first = await client.send(make_start(upstream), make_request())
             await asyncio.sleep(pause_s)
             second = await client.send(make_start(upstream), make_request())
@@ -104,10 +104,10 @@
     return attempts
 
 
-def _play_numbered(tail: bytes = b'', *, closes: bool = False) -> Play:
+def _play_numbered(tail: bytes = b'', *, closes: bool = False) -> Script:
     """Respond with the connection's number, followed by extra bytes."""
 
-    async def play(
+    async def script(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         number: int,
@@ -119,7 +119,7 @@
             if closes:
                 return
 
-    return play
+    return script
 
 
 def _get_bodies(attempts: list[Attempt]) -> list[bytes]:
@@ -171,7 +171,7 @@
 
     async def run() -> list[Attempt]:
         client = UpstreamClient()
-        async with run_script(_stop_responding) as upstream:
+        async with serve_script(_stop_responding) as upstream:
             start = make_start(upstream, 0.3, is_repeatable=True)
             return [
                 await client.send(start, make_request('GET', b''))
@@ -189,7 +189,7 @@
 def test_late_response_is_discarded() -> None:
     """Guard against a late response that is read as the next one."""
 
-    async def play(
+    async def script(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         number: int,
@@ -200,7 +200,7 @@
 
     async def run() -> list[Attempt]:
         client = UpstreamClient()
-        async with run_script(play) as upstream:
+        async with serve_script(script) as upstream:
             late = await client.send(make_start(upstream, 0.05), make_request())
             await asyncio.sleep(0.1)
             return [
@@ -216,7 +216,7 @@
 def test_response_during_the_upload_is_rejected() -> None:
     """Guard against a response to an incomplete request."""
 
-    async def play(
+    async def script(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         number: int,
@@ -227,7 +227,7 @@
 
     async def run() -> Attempt:
         client = UpstreamClient()
-        async with run_script(play) as upstream:
+        async with serve_script(script) as upstream:
             request = make_request(body=b'x' * 30_000_000)
             return await client.send(make_start(upstream), request)
 
@@ -239,7 +239,7 @@
 
     async def run() -> Attempt:
         client = UpstreamClient()
-        async with run_script(answer_with(WHOLE)) as upstream:
+        async with serve_script(answer_with(WHOLE)) as upstream:
             start = make_start(upstream)
         return await client.send(start, make_request())
 
@@ -251,7 +251,7 @@
 
     async def run() -> Attempt:
         client = UpstreamClient()
-        async with run_script(answer_with(WHOLE)) as upstream:
+        async with serve_script(answer_with(WHOLE)) as upstream:
             start = make_start(upstream)._replace(valid_until_s=0)
             return await client.send(start, make_request())
 
@@ -263,7 +263,7 @@
 
     async def run() -> list[Attempt]:
         client = UpstreamClient()
-        async with run_script(_play_numbered()) as upstream:
+        async with serve_script(_play_numbered()) as upstream:
             start = make_start(upstream, connection_limit=1)
             return list(
                 await asyncio.gather(
@@ -281,7 +281,7 @@
 
     async def run() -> list[Attempt]:
         client = UpstreamClient()
-        async with run_script(_play_numbered()) as upstream:
+        async with serve_script(_play_numbered()) as upstream:
             fresh = upstream._replace(incarnation=2)
             return [
                 await client.send(make_start(one), make_request())
@@ -295,7 +295,7 @@
     """Guard against forwarding the key or hop-by-hop headers."""
     seen: list[bytes] = []
 
-    async def play(
+    async def script(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         number: int,
@@ -311,7 +311,7 @@
             'Transfer-Encoding': 'chunked',
             'X-Kept': 'kept',
         }
-        async with run_script(play) as upstream:
+        async with serve_script(script) as upstream:
             await UpstreamClient().send(
                 make_start(upstream), make_request(headers=headers)
             )
