--- a/tests/builders/jobs.py
+++ b/tests/builders/jobs.py
@@ -1,4 +1,4 @@
-"""Fleets for jobs, and the truth that the cores can't see."""
+"""Simulated workers that check the invariants of job placement."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -8,12 +8,12 @@
 from sardinemast import placement
 
 LEASE_S = 3.0
-ROOM = placement.Size(8000, 16_000, 1)
+CAPACITY = placement.Size(8000, 16_000, 1)
 TEAMS = (
     placement.Team('kerlann', 2, 16_000),
     placement.Team('atlas', 1, 6000),
 )
-PLACES = (
+WORKER_LOCATIONS = (
     ('worker-1', 'nord', 'r1'),
     ('worker-2', 'nord', 'r2'),
     ('worker-3', 'sud', 'r1'),
@@ -28,7 +28,7 @@
     memory_bytes: int = 1000,
     **options: Any,
 ) -> placement.commands.JobRequest:
-    """Make a request for a job that fills a worker."""
+    """Return a job request that takes all cores of a worker by default."""
     return placement.commands.JobRequest(
         name,
         'kerlann',
@@ -39,22 +39,22 @@
     )
 
 
-class TrueWorker:
-    """Hold what a worker truly runs."""
+class SimulatedWorker:
+    """Simulate a worker and its actual runs."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.incarnation = 1
         self.lease_until_s = LEASE_S
         self.is_up = True
-        self.is_bad = False
+        self.is_faulty = False
         self.runs: dict[int, placement.AskWorker] = {}
         self.throttled: set[int] = set()
         self.uses: dict[int, placement.Size] = {}
         self.ends: dict[int, placement.commands.RunEnd] = {}
 
-    def lapse(self) -> None:
-        """Stop everything and take a new incarnation."""
+    def restart(self) -> None:
+        """Stop all runs and begin a new incarnation."""
         self.runs.clear()
         self.throttled.clear()
         self.ends.clear()
@@ -66,36 +66,36 @@
         outcome: placement.RunResult,
         peak: placement.Size | None = None,
     ) -> None:
-        """End a run, or remember that it may never start."""
-        ask = self.runs.pop(token, None)
-        if ask is not None:
+        """End a run and store its result."""
+        request = self.runs.pop(token, None)
+        if request is not None:
             self.ends[token] = placement.commands.RunEnd(
-                ask.job,
+                request.job,
                 token,
                 outcome,
-                peak or ask.size,
+                peak or request.size,
             )
 
-    def carry_out(self, ask: placement.AskWorker, now_s: float) -> None:
-        """Do what the leader asks, if it means this incarnation."""
-        if ask.incarnation != self.incarnation or not self.is_up:
+    def carry_out(self, request: placement.AskWorker, now_s: float) -> None:
+        """Execute a request that is meant for this incarnation."""
+        if request.incarnation != self.incarnation or not self.is_up:
             return
         if now_s >= self.lease_until_s:
             return
-        if ask.action is placement.RunAction.start:
-            if ask.token not in self.ends:
-                self.runs[ask.token] = ask
-        elif ask.action is placement.RunAction.throttle:
-            if ask.token in self.runs:
-                self.throttled.add(ask.token)
-        elif ask.action is placement.RunAction.checkpoint:
-            self.end(ask.token, placement.RunResult.checkpointed)
-        elif ask.token not in self.ends:
-            self.runs.setdefault(ask.token, ask)
-            self.end(ask.token, placement.RunResult.stopped)
+        if request.action is placement.RunAction.start:
+            if request.token not in self.ends:
+                self.runs[request.token] = request
+        elif request.action is placement.RunAction.throttle:
+            if request.token in self.runs:
+                self.throttled.add(request.token)
+        elif request.action is placement.RunAction.checkpoint:
+            self.end(request.token, placement.RunResult.checkpointed)
+        elif request.token not in self.ends:
+            self.runs.setdefault(request.token, request)
+            self.end(request.token, placement.RunResult.stopped)
 
     def report(self, now_s: float) -> placement.WorkerReported:
-        """Say what the worker says; what runs take is told as seen."""
+        """Return the worker's report with the observed usage of its runs."""
         return placement.WorkerReported(
             self.name,
             self.incarnation,
@@ -111,8 +111,8 @@
         )
 
 
-class JobWorld:
-    """Hold the log, a leader and the truth about workers."""
+class JobSimulation:
+    """Simulate the log, a leader and workers."""
 
     def __init__(self) -> None:
         self.now_s: float = 0
@@ -120,52 +120,57 @@
         self.state = placement.PlacementState()
         self.core = _make_core(self.state)
         self._old_core = self.core
-        self.workers = {place[0]: TrueWorker(place[0]) for place in PLACES}
+        self.workers = {
+            place[0]: SimulatedWorker(place[0]) for place in WORKER_LOCATIONS
+        }
         self.proposals: list[placement.Command] = []
-        self.asked: list[placement.AskWorker] = []
-        self.asks: list[placement.AskWorker] = []
+        self.pending_requests: list[placement.AskWorker] = []
+        self.sent_requests: list[placement.AskWorker] = []
         self.events: list[placement.Event] = []
         self.session: Session | None = None
-        self.over: dict[str, placement.JobStatus] = {}
+        self.final_statuses: dict[str, placement.JobStatus] = {}
         self.set_teams(TEAMS)
-        for place in PLACES:
-            self._enter(place[0])
+        for place in WORKER_LOCATIONS:
+            self._register(place[0])
         self.core.step(placement.TermStarted(), 0)
 
     def set_teams(self, teams: tuple[placement.Team, ...]) -> None:
-        """Put shares and limits in force."""
+        """Commit the shares and limits of teams."""
         self.teams = teams
         self.commit(placement.commands.SetTeams('t', teams))
 
     def commit(self, command: placement.Command) -> None:
-        """Put a command into the log, and check that what is over stays so."""
+        """Append and apply a command; check that final states are kept."""
         self.log.append(command)
         placement.apply_command(self.state, command, len(self.log))
         for name, job in self.state.jobs.items():
-            known = self.over.get(name, job.status)
-            assert job.status is known, 'A final job changed.'
+            known = self.final_statuses.get(name, job.status)
+            assert job.status is known, 'The final status of a job changed.'
             if job.status in {
                 placement.JobStatus.cancelled,
                 placement.JobStatus.done,
                 placement.JobStatus.set_aside,
             }:
-                self.over[name] = job.status
+                self.final_statuses[name] = job.status
 
     def commit_all(self) -> None:
-        """Commit what was proposed."""
+        """Commit all pending proposals."""
         proposals = tuple(self.proposals)
         self.proposals.clear()
         for command in proposals:
             self.commit(command)
 
     def feed(self, event: placement.Event, *, is_kept: bool = True) -> None:
-        """Hand an event to the leader, and keep what it wants."""
+        """Pass an event to the leader and record its outputs."""
         if is_kept and isinstance(event, placement.WorkerReported):
             self.events.append(event)
         self._take(self.core.step(event, self.now_s))
 
     def change_leader(self, is_committed: bool) -> None:
-        """Start a leader from the image; the old one's proposals go or stay."""
+        """Start a new leader from a dump of the state.
+
+        The proposals of the old leader are committed or dropped.
+        """
         if is_committed:
             self.commit_all()
         self.proposals.clear()
@@ -174,86 +179,94 @@
         self.core = _make_core(self.state)
         self.core.step(placement.TermStarted(), self.now_s)
 
-    def wake_old_leader(self) -> None:
-        """Let a leader that missed its end ask for what it knew."""
+    def run_deposed_leader(self) -> None:
+        """Tick a deposed leader, which can send outdated requests."""
         for output in self._old_core.step(placement.Tick(), self.now_s):
             if isinstance(output, placement.AskWorker):
                 self.carry_out(output)
 
-    def live(
+    def advance(
         self,
         silent: Iterable[str] = (),
         *,
-        is_ask_lost: bool = False,
-        is_commit_late: bool = False,
+        loses_requests: bool = False,
+        commits_late: bool = False,
         step_s: float = 0.5,
     ) -> None:
-        """Let a step of time pass, in which some workers are cut off."""
+        """Advance by a step in which the silent workers are unreachable."""
         self.now_s = round(self.now_s + step_s, 3)
         for worker in self.workers.values():
             if worker.is_up and self.now_s >= worker.lease_until_s:
-                worker.lapse()
+                worker.restart()
             if worker.is_up and worker.name not in set(silent):
-                self._enter(worker.name)
+                self._register(worker.name)
                 self.feed(worker.report(self.now_s))
-        if is_commit_late:
+        if commits_late:
             self.commit_all()
         self._tick()
-        if not is_commit_late:
+        if not commits_late:
             self.commit_all()
-        asked = tuple(self.asked)
-        self.asked.clear()
-        for ask in asked:
-            if ask.worker not in set(silent) and not is_ask_lost:
-                self.carry_out(ask)
+        pending_requests = tuple(self.pending_requests)
+        self.pending_requests.clear()
+        for request in pending_requests:
+            if request.worker not in set(silent) and not loses_requests:
+                self.carry_out(request)
             else:
-                self.asks.append(ask)
+                self.sent_requests.append(request)
 
-    def carry_out(self, ask: placement.AskWorker) -> None:
-        """Carry a request to its worker, and check the truth."""
-        self.asks.append(ask)
-        self.workers[ask.worker].carry_out(ask, self.now_s)
+    def carry_out(self, request: placement.AskWorker) -> None:
+        """Deliver a request to its worker and check the invariants."""
+        self.sent_requests.append(request)
+        self.workers[request.worker].carry_out(request, self.now_s)
         self.check()
 
     def finish(self, worker: str, outcome: placement.RunResult) -> None:
-        """Let all runs on a worker end."""
+        """End all runs on a worker; all fail if it is faulty."""
         one = self.workers[worker]
         for token in tuple(one.runs):
             failed = placement.RunResult.failed
-            one.end(token, failed if one.is_bad else outcome)
+            one.end(token, failed if one.is_faulty else outcome)
 
     def check(self) -> None:
-        """Check what truly runs."""
+        """Check the running jobs against limits and capacities."""
         running = [
-            ask
+            request
             for worker in self.workers.values()
             if worker.is_up
-            for ask in worker.runs.values()
+            for request in worker.runs.values()
         ]
-        by_job = Counter(ask.job for ask in running)
+        by_job = Counter(request.job for request in running)
         used: Counter[str] = Counter()
-        for ask in running:
-            job = self.state.jobs[ask.job]
+        for request in running:
+            job = self.state.jobs[request.job]
             if not job.may_overlap:
-                assert by_job[ask.job] == 1, 'A job runs twice at once.'
-            assert self.over.get(ask.job) is not CANCELLED, 'Not final.'
-            used[job.team] += _get_taken(self, ask)
+                assert by_job[request.job] == 1, 'A job runs twice at once.'
+            assert self.final_statuses.get(request.job) is not CANCELLED, (
+                'A cancelled job runs.'
+            )
+            used[job.team] += _get_taken(self, request)
         for team in self.teams:
-            assert used[team.name] <= team.millicores_max, 'Limit passed.'
+            assert used[team.name] <= team.millicores_max, (
+                'Team limit exceeded.'
+            )
         for worker in self.workers.values():
-            taken = sum(_get_taken(self, ask) for ask in worker.runs.values())
-            assert taken <= ROOM.millicores, 'A worker is overfull.'
+            taken = sum(
+                _get_taken(self, request) for request in worker.runs.values()
+            )
+            assert taken <= CAPACITY.millicores, (
+                'Capacity of a worker exceeded.'
+            )
 
     def submit(self, *requests: placement.commands.JobRequest) -> None:
-        """Take in jobs."""
+        """Commit the submission of jobs."""
         self.commit(placement.commands.SubmitJobs('s', requests))
 
     def get_workers(self, job: str) -> list[str]:
-        """Give the workers that truly run a job."""
+        """Return the names of the workers that are running a job."""
         return [
             worker.name
             for worker in self.workers.values()
-            if any(ask.job == job for ask in worker.runs.values())
+            if any(request.job == job for request in worker.runs.values())
         ]
 
     def _tick(self) -> None:
@@ -267,7 +280,7 @@
             if isinstance(output, placement.Propose):
                 self.proposals.append(output.command)
             elif isinstance(output, placement.AskWorker):
-                self.asked.append(output)
+                self.pending_requests.append(output)
             elif isinstance(output, placement.GrantLease):
                 self._renew(output)
 
@@ -281,11 +294,11 @@
         for token in granted.settled:
             worker.throttled.discard(token)
 
-    def _enter(self, name: str) -> None:
+    def _register(self, name: str) -> None:
         worker = self.workers[name]
         known = self.state.workers.get(name)
         if known is None or known.incarnation < worker.incarnation:
-            place = next(one for one in PLACES if one[0] == name)
+            place = next(one for one in WORKER_LOCATIONS if one[0] == name)
             worker.lease_until_s = self.now_s + LEASE_S
             self.commit(
                 placement.commands.EnterWorker(
@@ -294,7 +307,7 @@
                     'ouest',
                     place[1],
                     place[2],
-                    ROOM,
+                    CAPACITY,
                 ),
             )
 
@@ -302,9 +315,9 @@
 CANCELLED = placement.JobStatus.cancelled
 
 
-def _get_taken(world: JobWorld, ask: placement.AskWorker) -> int:
-    run = world.state.runs.get(ask.token)
-    size = run.size if run is not None and run.is_throttled else ask.size
+def _get_taken(simulation: JobSimulation, request: placement.AskWorker) -> int:
+    run = simulation.state.runs.get(request.token)
+    size = run.size if run is not None and run.is_throttled else request.size
     return size.millicores
 
 
--- a/tests/builders/processes.py
+++ b/tests/builders/processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback for tests."""
+"""Processes of a fleet on the loopback interface."""
 
 import os
 import signal
@@ -22,24 +22,24 @@
 from builders.certificates import write_certificate
 from sardinemast.exceptions import CodedError
 
-_PATIENCE_S = 30.0
+_TIMEOUT_S = 30.0
 _POLL_S = 0.05
-_LOG_SHOWN = 4000
+_LOG_TAIL_CHARS = 4000
 _PORTS = range(10_000, 32_000)
-# Tests that run side by side draw from parts of their own: a port is free
-# between its choice and the start of its process, and another test's fleet
-# would take it. The process then says that its address is in use.
-_PARTS = 16
-_PART_PORTS = len(_PORTS) // _PARTS
+# Each parallel test worker has its own range of ports: a port stays free
+# between its choice and the start of its process, so another test could
+# choose it too, and the process would fail with "address in use".
+_RANGE_COUNT = 16
+_RANGE_SIZE = len(_PORTS) // _RANGE_COUNT
 _WORKER = int(os.environ.get('PYTEST_XDIST_WORKER', 'gw0').removeprefix('gw'))
-_FIRST_OWN = _PORTS[_WORKER % _PARTS * _PART_PORTS]
-_OWN_PORTS = range(_FIRST_OWN, _FIRST_OWN + _PART_PORTS)
-# For the same reason none is given twice before most of the part was given.
-_given: deque[int] = deque(maxlen=_PART_PORTS // 2)
+_FIRST_OWN_PORT = _PORTS[_WORKER % _RANGE_COUNT * _RANGE_SIZE]
+_OWN_PORTS = range(_FIRST_OWN_PORT, _FIRST_OWN_PORT + _RANGE_SIZE)
+# Recently chosen ports, which are not chosen again for the same reason.
+_recent_ports: deque[int] = deque(maxlen=_RANGE_SIZE // 2)
 
 
 class Fleet:
-    """Hold the processes of one test."""
+    """Manage the processes of one test."""
 
     def __init__(self, folder: Path, control_count: int, entry_count: int):
         self.folder = folder
@@ -60,28 +60,28 @@
             }
             for name in self.control_names
         ]
-        # What one control process dials instead of another's peer port.
-        self.detours: dict[tuple[str, str], int] = {}
+        # Relay ports that replace peer ports, by (from, to) process names.
+        self.relay_ports: dict[tuple[str, str], int] = {}
         self._entry_ports = dict(zip(self.entry_names, ports, strict=True))
 
     @property
     def controls(self) -> str:
-        """Give the operators' addresses as the command line takes them."""
+        """Return the operator addresses in command-line format."""
         return ','.join(
             f'127.0.0.1:{one["operator"]["port"]}' for one in self._controls
         )
 
     @property
     def entries(self) -> str:
-        """Give the callers' addresses."""
-        return ','.join(map(self.get_entry, self.entry_names))
+        """Return the caller addresses of all entries."""
+        return ','.join(map(self.get_entry_address, self.entry_names))
 
-    def get_entry(self, name: str) -> str:
-        """Give the callers' address of an entry."""
+    def get_entry_address(self, name: str) -> str:
+        """Return the caller address of an entry."""
         return f'127.0.0.1:{self._entry_ports[name]}'
 
     def add_entry(self, name: str) -> None:
-        """Find a port for one more entry."""
+        """Reserve a port for an additional entry."""
         self._entry_ports[name] = find_ports(1)[0]
 
     def start(self, name: str) -> None:
@@ -92,7 +92,9 @@
             'roles': [role],
             'data_centre': 'rennes',
             'data_folder': str(self.folder / name),
-            'controls': [self._detour(name, one) for one in self._controls],
+            'controls': [
+                self._apply_relay(name, one) for one in self._controls
+            ],
         }
         if role == 'entry':
             settings['callers'] = {'port': self._entry_ports[name]}
@@ -103,13 +105,13 @@
         self.run(name, 'sardinemast.daemon', str(path))
 
     def write_security(self, name: str, unit: str) -> dict[str, str]:
-        """Write a certificate, and give the settings that name it."""
+        """Write a certificate and return its security settings."""
         assert self.authority is not None
         security = write_certificate(self.folder, self.authority, name, unit)
         return {field: str(path) for field, path in security._asdict().items()}
 
     def get_peer_port(self, name: str) -> int:
-        """Give the port that a control process listens on for peers."""
+        """Return the peer port of a control process."""
         found = next(one for one in self._controls if one['name'] == name)
         return int(found['peer']['port'])
 
@@ -127,7 +129,7 @@
         )
 
     def run(self, name: str, module: str, *arguments: str) -> None:
-        """Start a module under a name."""
+        """Run a module as a process with this name."""
         with (self.folder / f'{name}.log').open('ab') as log:
             self.processes[name] = subprocess.Popen(
                 [sys.executable, '-m', module, *arguments],
@@ -138,10 +140,10 @@
     def wait_until_serving(self) -> None:
         """Wait until each entry has a lease."""
         for name in self.entry_names:
-            wait_for(partial(_is_serving, self.get_entry(name)))
+            wait_for(partial(_is_serving, self.get_entry_address(name)))
 
     def kill(self, name: str) -> None:
-        """Kill a process with no chance to tidy up."""
+        """Kill a process without a graceful shutdown."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
@@ -151,13 +153,15 @@
         self.processes[name].send_signal(number)
 
     def print_logs(self) -> None:
-        """Print the end of each log, for a failure that may not come again."""
+        """Print the end of each log to help diagnose a failure."""
         for path in sorted(self.folder.glob('*.log')):
-            shown = path.read_text()[-_LOG_SHOWN:]
+            shown = path.read_text()[-_LOG_TAIL_CHARS:]
             sys.stdout.write(f'--- {path.name}\n{shown}\n')
 
-    def _detour(self, name: str, control: dict[str, Any]) -> dict[str, Any]:
-        port = self.detours.get((name, control['name']))
+    def _apply_relay(
+        self, name: str, control: dict[str, Any]
+    ) -> dict[str, Any]:
+        port = self.relay_ports.get((name, control['name']))
         return {**control, 'peer': {'port': port}} if port else control
 
 
@@ -169,7 +173,7 @@
     authority: trustme.CA | None = None,
     prepare: Callable[[Fleet], None] | None = None,
 ) -> Iterator[Fleet]:
-    """Start control processes and entries, and stop all at the end."""
+    """Run control processes and entries, and kill them on exit."""
     fleet = Fleet(folder, control_count, entry_count)
     fleet.authority = authority
     if prepare is not None:
@@ -188,8 +192,8 @@
 
 
 def wait_for(action: Callable[[], Any]) -> Any:
-    """Repeat an action until it gives something true, or fail."""
-    give_up_s = time.monotonic() + _PATIENCE_S
+    """Retry an action until its result is true, or time out."""
+    give_up_s = time.monotonic() + _TIMEOUT_S
     while True:
         try:
             found = action()
@@ -199,7 +203,7 @@
             found = None
         if found:
             return found
-        assert time.monotonic() < give_up_s, 'Gave up waiting.'
+        assert time.monotonic() < give_up_s, 'Timed out.'
         time.sleep(_POLL_S)
 
 
@@ -209,7 +213,7 @@
     key: str = '',
     **options: Any,
 ) -> HTTPResponse:
-    """Send one request to an entry."""
+    """Send a request to an entry and return the response."""
     headers = {'Authorization': f'Bearer {key}', **options.pop('headers', {})}
     client = HTTPClient()
     try:
@@ -226,26 +230,28 @@
 
 
 def find_ports(count: int) -> list[int]:
-    """Give free ports that the system gives to nobody by itself.
+    """Return free ports outside the system's ephemeral range.
 
-    A port of the system's own range may go to any connection between this
-    call and the start of the process that it is meant for.
+    The system could assign an ephemeral port to another connection before
+    the process starts.
     """
     return [_draw_ports(1) for _ in range(count)]
 
 
 def find_port_pair() -> int:
-    """Give a free port behind which the next one is free too."""
+    """Return the first of two consecutive free ports."""
     return _draw_ports(2)
 
 
 def _draw_ports(count: int) -> int:
-    """Give the first of so many free ports in a row."""
+    """Return the first of ``count`` consecutive free ports."""
     while True:
         first = SystemRandom().choice(_OWN_PORTS[:-count])
         wanted = range(first, first + count)
-        if not any(port in _given for port in wanted) and _are_free(wanted):
-            _given.extend(wanted)
+        if not any(port in _recent_ports for port in wanted) and _are_free(
+            wanted
+        ):
+            _recent_ports.extend(wanted)
             return first
 
 
