--- a/src/sardinemast/routing/__init__.py
+++ b/src/sardinemast/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which upstream runs a request, and what follows from how that ends."""
+"""Selection of upstreams, attempts and retries."""
 
 from sardinemast.routing._attempts import (
     AttemptOutcome,
--- a/src/sardinemast/routing/_attempts.py
+++ b/src/sardinemast/routing/_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts under way, and what follows when one ends."""
+"""Attempts of requests at upstreams, and their retries."""
 
 from enum import StrEnum
 from http import HTTPStatus
@@ -16,21 +16,21 @@
 from sardinemast.routing._budget import RetryBudget
 from sardinemast.routing._picker import UpstreamCriteria, UpstreamPicker
 
-_MAX_SENT = 3
-_FIRST_BACK_OFF_S = 0.01
-_LONGEST_BACK_OFF_S = 0.5
-_MOST_DOUBLINGS = 6
-_MOST_AVOIDED = 4
+_MAX_SENT_ATTEMPTS = 3
+_INITIAL_BACKOFF_S = 0.01
+_MAX_BACKOFF_S = 0.5
+_MAX_DOUBLINGS = 6
+_MAX_AVOIDED = 4
 
 
 class AttemptResult(StrEnum):
-    """Tell how an attempt at an upstream ended.
+    """How an attempt at an upstream ended.
 
-    ``not_sent`` may be said only where no byte of the request can have left.
-    ``failed`` is a whole answer that reports an error of the server. After
-    the others the upstream may still run the request. ``silent`` means that
-    no answer came on a connection used before, which something on the way
-    may have lost track of.
+    ``not_sent`` requires that no byte of the request can have been sent.
+    ``failed`` is a complete answer that reports a server error. After
+    ``broken``, ``timed_out`` or ``silent`` the upstream may still run the
+    request. ``silent`` means no answer on a reused connection, whose state a
+    network device may have dropped.
     """
 
     answered = 'answered'
@@ -41,19 +41,18 @@
     silent = 'silent'
 
 
-_ENDED = frozenset(
+_CERTAINLY_ENDED = frozenset(
     (AttemptResult.answered, AttemptResult.failed, AttemptResult.not_sent),
 )
 _WITH_ANSWER = frozenset((AttemptResult.answered, AttemptResult.failed))
-_LATE = frozenset((AttemptResult.timed_out, AttemptResult.silent))
+_TIMEOUTS = frozenset((AttemptResult.timed_out, AttemptResult.silent))
 
 
 class StartAttempt(NamedTuple):
     """Send the request to the upstream, and stop at the timeout.
 
-    Once ``valid_until_s`` has passed on the monotonic clock, nothing may be
-    sent any more: the entry's lease has ended, and what was decided under it
-    may have been withdrawn.
+    Nothing may be sent after ``valid_until_s`` on the monotonic clock, when
+    the entry's lease has expired and its key may have been withdrawn.
     """
 
     request_id: int
@@ -65,7 +64,7 @@
 
 
 class NextStep(StrEnum):
-    """Tell what follows the end of an attempt."""
+    """What to do after the end of an attempt."""
 
     pass_answer = 'pass answer'
     retry = 'retry'
@@ -73,11 +72,11 @@
 
 
 class AttemptOutcome(NamedTuple):
-    """Hold what follows the end of an attempt.
+    """Hold the next step after the end of an attempt.
 
-    ``held_until_s`` is set where the upstream may still run the request;
-    until then it counts as running, also while it is tried elsewhere. A retry
-    waits until ``not_before_s``.
+    ``held_until_s`` is set if the upstream may still run the request; until
+    then the attempt is held as running, even during a retry. A retry starts
+    no earlier than ``not_before_s``.
     """
 
     request: QueuedRequest
@@ -87,19 +86,19 @@
     not_before_s: float = float('-inf')
 
 
-class _Running(NamedTuple):
+class _RunningAttempt(NamedTuple):
     request: QueuedRequest
     upstream: Announcement
     started_s: float
-    bound_until_s: float
+    may_run_until_s: float
 
 
 class _History(NamedTuple):
-    """Hold what former attempts of a request came to."""
+    """Hold the results of former attempts of a request."""
 
     avoided: tuple[Announcement, ...] = ()
     sent_count: int = 0
-    try_count: int = 0
+    attempt_count: int = 0
     not_before_s: float = float('-inf')
 
 
@@ -107,15 +106,15 @@
 
 
 class AttemptTable:
-    """Hold this entry's attempts and the upstreams they run at."""
+    """Start attempts at upstreams and decide on their retries."""
 
     def __init__(self, site: str, random: Random) -> None:
         self._site = site
         self._random = random
         self._picker = UpstreamPicker(site, random)
-        self._running: dict[int, _Running] = {}
+        self._running: dict[int, _RunningAttempt] = {}
         self._histories: dict[int, _History] = {}
-        self._left: set[int] = set()
+        self._abandoned: set[int] = set()
         self._budgets: dict[str, RetryBudget] = {}
 
     def replace_roster(
@@ -123,7 +122,7 @@
         announcements: tuple[Announcement, ...],
         now_s: float,
     ) -> None:
-        """Take the upstreams that are there now."""
+        """Replace the known upstreams."""
         self._picker.replace_roster(announcements, now_s)
 
     def start(
@@ -132,7 +131,7 @@
         request: QueuedRequest,
         now_s: float,
     ) -> StartAttempt | None:
-        """Choose an upstream, or give nothing where none is to be had yet."""
+        """Start an attempt, or return None if it must wait."""
         history = self._histories.get(request.request_id, _NO_HISTORY)
         pool = get_pool(state, request.pool, self._site)
         if pool is None or now_s < history.not_before_s:
@@ -144,7 +143,7 @@
         if upstream is None:
             return None
         self._picker.start(upstream)
-        self._running[request.request_id] = _Running(
+        self._running[request.request_id] = _RunningAttempt(
             request,
             upstream,
             now_s,
@@ -165,16 +164,16 @@
         attempt_result: AttemptResult,
         now_s: float,
     ) -> AttemptOutcome:
-        """Note how an attempt ended, and tell what follows."""
+        """Record the end of an attempt and return the next step."""
         running = self._running.pop(request_id)
         request = running.request
         self._picker.end(running.upstream)
-        self._note(running, attempt_result, now_s)
+        self._record(running, attempt_result, now_s)
         held_until_s = None
-        if attempt_result not in _ENDED:
-            held_until_s = running.bound_until_s
+        if attempt_result not in _CERTAINLY_ENDED:
+            held_until_s = running.may_run_until_s
         if self._may_retry(running, attempt_result, now_s):
-            self._back_off(running, attempt_result, now_s)
+            self._schedule_retry(running, attempt_result, now_s)
             return AttemptOutcome(
                 request,
                 NextStep.retry,
@@ -183,60 +182,60 @@
                 self._histories[request_id].not_before_s,
             )
         self._histories.pop(request_id, None)
-        self._left.discard(request_id)
+        self._abandoned.discard(request_id)
         if attempt_result in _WITH_ANSWER:
             return AttemptOutcome(request, NextStep.pass_answer)
         return AttemptOutcome(
             request,
             NextStep.refuse,
-            _describe_unknown(attempt_result),
+            _refuse_unknown(attempt_result),
             held_until_s,
         )
 
     def resolve_refusal(self, request_id: int, refusal: Refusal) -> Refusal:
-        """Give the refusal, made true for what was sent before.
+        """Return the refusal, corrected for earlier attempts.
 
-        A request that was sent once and then waited for another try until
-        its deadline may have run, whatever the queue says.
+        A queued request that missed its deadline is refused as not run, but
+        it may have run if an earlier attempt was sent.
         """
         history = self._histories.pop(request_id, _NO_HISTORY)
         if history.sent_count and refusal.outcome is RunOutcome.not_run:
-            return _describe_unknown(AttemptResult.timed_out)
+            return _refuse_unknown(AttemptResult.timed_out)
         return refusal
 
     def abandon(self, request_id: int) -> None:
-        """Note that nobody waits for the answer, so that no retry follows."""
+        """Prevent retries of a request whose caller has disconnected."""
         self._histories.pop(request_id, None)
         if request_id in self._running:
-            self._left.add(request_id)
+            self._abandoned.add(request_id)
 
-    def _note(
+    def _record(
         self,
-        running: _Running,
+        running: _RunningAttempt,
         attempt_result: AttemptResult,
         now_s: float,
     ) -> None:
         upstream = running.upstream
         started_s = running.started_s
         if attempt_result is AttemptResult.answered:
-            self._picker.note_answer(upstream, started_s, now_s)
-            self._get_budget(upstream.pool).note_success()
+            self._picker.record_answer(upstream, started_s, now_s)
+            self._get_budget(upstream.pool).record_success()
         elif attempt_result is AttemptResult.timed_out:
-            if self._picker.is_late(upstream, now_s - started_s):
-                self._picker.note_failure(upstream, started_s, now_s)
+            if self._picker.counts_as_failure(upstream, now_s - started_s):
+                self._picker.record_failure(upstream, started_s, now_s)
         elif attempt_result is not AttemptResult.silent:
-            self._picker.note_failure(upstream, started_s, now_s)
+            self._picker.record_failure(upstream, started_s, now_s)
 
     def _may_retry(
         self,
-        running: _Running,
+        running: _RunningAttempt,
         attempt_result: AttemptResult,
         now_s: float,
     ) -> bool:
         request = running.request
         if (
             attempt_result is AttemptResult.answered
-            or request.request_id in self._left
+            or request.request_id in self._abandoned
         ):
             return False
         if attempt_result is AttemptResult.not_sent:
@@ -245,45 +244,45 @@
         return (
             request.is_repeatable
             and now_s < request.due_s
-            and history.sent_count + 1 < _MAX_SENT
+            and history.sent_count + 1 < _MAX_SENT_ATTEMPTS
             and self._get_budget(request.pool).take()
         )
 
-    def _back_off(
+    def _schedule_retry(
         self,
-        running: _Running,
+        running: _RunningAttempt,
         attempt_result: AttemptResult,
         now_s: float,
     ) -> None:
         request_id = running.request.request_id
         history = self._histories.get(request_id, _NO_HISTORY)
-        longest_s = min(
-            _FIRST_BACK_OFF_S * 2**history.try_count, _LONGEST_BACK_OFF_S
+        max_backoff_s = min(
+            _INITIAL_BACKOFF_S * 2**history.attempt_count, _MAX_BACKOFF_S
         )
-        # A connection's silence says nothing about the upstream behind it.
-        is_blamed = attempt_result is not AttemptResult.silent
+        # A dead connection does not indicate a fault of the upstream.
+        counts_against_upstream = attempt_result is not AttemptResult.silent
         self._histories[request_id] = _History(
-            (history.avoided + (running.upstream,) * is_blamed)[
-                -_MOST_AVOIDED:
+            (history.avoided + (running.upstream,) * counts_against_upstream)[
+                -_MAX_AVOIDED:
             ],
             history.sent_count + (attempt_result is not AttemptResult.not_sent),
-            min(history.try_count + 1, _MOST_DOUBLINGS),
-            now_s + self._random.uniform(0, longest_s),
+            min(history.attempt_count + 1, _MAX_DOUBLINGS),
+            now_s + self._random.uniform(0, max_backoff_s),
         )
 
     def _get_budget(self, pool: str) -> RetryBudget:
         return self._budgets.setdefault(pool, RetryBudget())
 
 
-def _describe_unknown(attempt_result: AttemptResult) -> Refusal:
-    if attempt_result in _LATE:
+def _refuse_unknown(attempt_result: AttemptResult) -> Refusal:
+    if attempt_result in _TIMEOUTS:
         return refuse_unknown(
             'routing.E001',
             HTTPStatus.GATEWAY_TIMEOUT,
-            'The upstream did not answer in time; it may have run this.',
+            'The upstream did not answer in time; it may have run the request.',
         )
     return refuse_unknown(
         'routing.E002',
         HTTPStatus.BAD_GATEWAY,
-        'The upstream broke off its answer; it may have run this.',
+        'The upstream sent no full answer; it may have run the request.',
     )
--- a/src/sardinemast/routing/_budget.py
+++ b/src/sardinemast/routing/_budget.py
@@ -1,25 +1,24 @@
-"""Retries as a share of recent successes."""
+"""Limit of retries to a share of recent successes."""
 
-_SHARE = 0.1
-_MOST = 10.0
+_TOKENS_PER_SUCCESS = 0.1
+_MAX_TOKENS = 10.0
 
 
 class RetryBudget:
-    """Allow a retry where enough answers have come.
+    """Token bucket of retries that successful answers refill.
 
-    When everything fails at once, each request would otherwise be sent
-    several times, and the load that made it fail would grow with the failure.
+    It keeps retries from multiplying the load when most requests fail.
     """
 
     def __init__(self) -> None:
-        self._tokens = _MOST
+        self._tokens = _MAX_TOKENS
 
-    def note_success(self) -> None:
-        """Earn a part of a retry."""
-        self._tokens = min(_MOST, self._tokens + _SHARE)
+    def record_success(self) -> None:
+        """Add a fraction of a token."""
+        self._tokens = min(_MAX_TOKENS, self._tokens + _TOKENS_PER_SUCCESS)
 
     def take(self) -> bool:
-        """Spend one retry, or tell that none is left."""
+        """Take a token for a retry; return False if none is left."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/src/sardinemast/routing/_picker.py
+++ b/src/sardinemast/routing/_picker.py
@@ -1,4 +1,4 @@
-"""Choose the upstream that will answer soonest."""
+"""Selection of the upstream with the lowest expected latency."""
 
 from collections.abc import Callable
 from random import Random
@@ -10,13 +10,13 @@
 from sardinemast.routing._health import UpstreamHealth, get_typical_s
 
 UpstreamKey = tuple[str, int]
-_UNKNOWN_S = 0.05
+_DEFAULT_DURATION_S = 0.05
 
 
 class UpstreamCriteria(NamedTuple):
-    """Hold what matters for the choice.
+    """Hold the properties of a request that affect the selection.
 
-    ``avoided`` are the upstreams at which the request has failed before.
+    ``avoided`` holds the upstreams at which the request has failed before.
     """
 
     pool: str
@@ -25,7 +25,7 @@
 
 
 class UpstreamPicker:
-    """Count this entry's requests at each upstream and choose among them."""
+    """Select upstreams by health, locality and this entry's load on them."""
 
     def __init__(self, site: str, random: Random) -> None:
         self._site = site
@@ -39,10 +39,10 @@
         announcements: tuple[Announcement, ...],
         now_s: float,
     ) -> None:
-        """Take the upstreams that are there now.
+        """Replace the known upstreams.
 
-        Those of the first roster were there before this entry, so they are
-        warm; later ones have just joined.
+        Upstreams of the first roster are taken as warm, since they may have
+        started before this entry; later ones have just joined.
         """
         warm_since_s = now_s if self._healths else float('-inf')
         self._pools.clear()
@@ -51,7 +51,7 @@
             self._healths.setdefault(
                 get_upstream_key(one), UpstreamHealth(warm_since_s)
             )
-        self._forget_former(announcements)
+        self._remove_former_incarnations(announcements)
 
     def choose(
         self,
@@ -59,7 +59,7 @@
         criteria: UpstreamCriteria,
         now_s: float,
     ) -> Announcement | None:
-        """Give the upstream for a request, or nothing where all are full."""
+        """Return the upstream for a request, or None if all are full."""
         pool = get_pool(state, criteria.pool, self._site)
         if pool is None:
             return None
@@ -70,51 +70,53 @@
         ]
         candidates = self._get_candidates(usable, criteria, now_s)
         free = [one for one in candidates if self._has_slot(one, pool, now_s)]
-        return min(free, key=self._get_rank(criteria), default=None)
+        return min(free, key=self._make_rank(criteria), default=None)
 
     def start(self, upstream: Announcement) -> None:
-        """Count a request as running at an upstream."""
+        """Record the start of a request at an upstream."""
         start = get_upstream_key(upstream)
         self._running[start] = self._running.get(start, 0) + 1
 
     def end(self, upstream: Announcement) -> None:
-        """Count a request as ended at an upstream."""
+        """Record the end of a request at an upstream."""
         start = get_upstream_key(upstream)
         self._running[start] -= 1
         if not self._running[start]:
             self._running.pop(start)
 
-    def note_answer(
+    def record_answer(
         self,
         upstream: Announcement,
         started_s: float,
         now_s: float,
     ) -> None:
-        """Note a good answer, and set the upstream aside where it is slow."""
+        """Record a good answer, and eject the upstream if it is slow."""
         health = self._healths.get(get_upstream_key(upstream))
         if health is None:
             return
-        health.note_answer(started_s, now_s)
+        health.record_answer(started_s, now_s)
         typical_s = self._get_typical_s(upstream.pool)
         if typical_s is not None and health.is_slow(typical_s):
             health.eject(now_s, self._random)
 
-    def note_failure(
+    def record_failure(
         self,
         upstream: Announcement,
         started_s: float,
         now_s: float,
     ) -> None:
-        """Note a failure of an upstream."""
+        """Record a failure of an upstream."""
         health = self._healths.get(get_upstream_key(upstream))
         if health is not None:
-            health.note_failure(started_s, now_s, self._random)
+            health.record_failure(started_s, now_s, self._random)
 
-    def is_late(self, upstream: Announcement, waited_s: float) -> bool:
-        """Tell whether a wait without an answer speaks against an upstream.
+    def counts_as_failure(
+        self, upstream: Announcement, waited_s: float
+    ) -> bool:
+        """Return whether a timeout counts as a failure of the upstream.
 
-        A caller with a deadline of a millisecond learns nothing about the
-        upstream; counted, a few of them would set aside a whole pool.
+        Timeouts well below the typical duration don't count: callers with
+        very short deadlines could otherwise eject a whole pool.
         """
         typical_s = self._get_typical_s(upstream.pool)
         return typical_s is None or waited_s >= 2 * typical_s
@@ -135,8 +137,8 @@
             for one in usable
             if not self._healths[get_upstream_key(one)].is_ejected
         ]
-        # Where all are set aside, trying one of them is the only way to
-        # serve; a pool that has recovered would stay unused otherwise.
+        # If all are ejected, use them anyway: otherwise a recovered pool would
+        # stay unused.
         return good or usable
 
     def _may_probe(
@@ -155,20 +157,20 @@
         slots = self._healths[start].get_slots(pool.slots, now_s)
         return self._running.get(start, 0) < slots
 
-    def _get_rank(
+    def _make_rank(
         self,
         criteria: UpstreamCriteria,
     ) -> Callable[[Announcement], tuple[int, bool, float, float]]:
-        domains = [_get_domain(one) for one in criteria.avoided]
+        domains = [_get_failure_domain(one) for one in criteria.avoided]
         instances = {one.instance for one in criteria.avoided}
 
         def rank(one: Announcement) -> tuple[int, bool, float, float]:
-            repeats = domains.count(_get_domain(one))
+            repeats = domains.count(_get_failure_domain(one))
             return (
                 repeats + (one.instance in instances),
                 one.data_centre != self._site,
                 self._get_cost_s(one),
-                # All entries would take the same one of equals otherwise.
+                # Breaks ties, or all entries would choose the same one.
                 self._random.random(),
             )
 
@@ -176,7 +178,7 @@
 
     def _get_cost_s(self, one: Announcement) -> float:
         start = get_upstream_key(one)
-        duration_s = self._healths[start].duration_s or _UNKNOWN_S
+        duration_s = self._healths[start].duration_s or _DEFAULT_DURATION_S
         return duration_s * (self._running.get(start, 0) + 1)
 
     def _get_typical_s(self, pool_name: str) -> float | None:
@@ -187,9 +189,11 @@
             ]
         )
 
-    def _forget_former(self, announcements: tuple[Announcement, ...]) -> None:
-        # Those that are merely gone stay: a roster that is empty for a
-        # moment must not forget who is warm and who is set aside.
+    def _remove_former_incarnations(
+        self, announcements: tuple[Announcement, ...]
+    ) -> None:
+        # Upstreams missing from the roster keep their health, since a roster
+        # may be empty for a moment.
         newest = dict(map(get_upstream_key, announcements))
         for instance, incarnation in tuple(self._healths):
             if newest.get(instance, incarnation) > incarnation:
@@ -197,18 +201,17 @@
 
 
 def get_upstream_key(one: Announcement) -> UpstreamKey:
-    """Name one start of an upstream."""
+    """Return the instance and incarnation of an upstream."""
     return (one.instance, one.incarnation)
 
 
-def _get_domain(one: Announcement) -> tuple[str, str]:
+def _get_failure_domain(one: Announcement) -> tuple[str, str]:
     return (one.data_centre, one.rack)
 
 
 def _is_usable(state: FleetState, one: Announcement, pool_name: str) -> bool:
-    # Both the log and the upstream must name the pool. An instance that was
-    # moved while its announcement was under way would otherwise get work of
-    # the pool that it has left.
+    # Both the state and the announcement must name the pool: after a move the
+    # announcement may still name the former one.
     placed = state.instances.get(one.instance)
     return (
         one.status is UpstreamStatus.serving
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -1,4 +1,4 @@
-"""Choice of upstream and retries, rule by rule."""
+"""Selection of upstreams, ejection and retries."""
 
 from random import Random
 
@@ -18,7 +18,7 @@
 
 
 class _Table:
-    """Drive a table, with a request id for each attempt."""
+    """Drive an attempt table, with a new request id for each request."""
 
     def __init__(self, *upstreams: Announcement) -> None:
         self.table = AttemptTable('rennes', Random(1))
@@ -47,14 +47,14 @@
         return self.table.start(self.state, request, now_s)
 
     def fail(self, now_s: float, *, is_repeatable: bool = False) -> str:
-        """Start and fail a request, and give where it was."""
+        """Start and fail a request, and return its instance."""
         started = self.start(now_s, is_repeatable=is_repeatable)
         assert started is not None
         self.table.end(started.request_id, AttemptResult.failed, now_s)
         return started.upstream.instance
 
     def serve(self, now_s: float, taken_s: float = 0.01) -> str:
-        """Start and answer a request, and give where it was."""
+        """Start and answer a request, and return its instance."""
         started = self.start(now_s)
         assert started is not None
         ended_s = now_s + taken_s
@@ -68,11 +68,11 @@
     return make_announcement(name)._replace(rack=rack, data_centre=site)
 
 
-def test_failing_upstream_is_set_aside() -> None:
-    """Send nothing more to an upstream that fails what it gets.
+def test_failing_upstream_is_ejected() -> None:
+    """An upstream that fails every request gets no more of them.
 
-    One of two upstreams answers every request with an error, and does so
-    faster than the other one answers. Half of the callers would get errors.
+    Guards against sending half of the requests to an upstream that answers
+    with errors.
     """
     table = _Table(_make('good'), _make('bad'))
     served = []
@@ -89,7 +89,7 @@
     assert 'good' in served
 
 
-def _make_one_aside() -> _Table:
+def _make_one_ejected() -> _Table:
     table = _Table(_make('bad'))
     for _ in range(6):
         table.fail(0)
@@ -98,16 +98,16 @@
 
 
 def test_recovered_upstream_is_probed_by_one_request() -> None:
-    """One request at a time finds out whether an upstream has recovered."""
-    table = _make_one_aside()
+    """Only one request at a time probes an ejected upstream."""
+    table = _make_one_ejected()
     started = [table.start(_LATE_S) for _ in range(3)]
     places = [one.upstream.instance for one in started if one]
     assert places == ['bad', 'good', 'good']
 
 
-def test_probe_prefers_what_may_be_repeated() -> None:
-    """A booking is the last to find out whether an upstream has recovered."""
-    table = _make_one_aside()
+def test_repeatable_requests_probe_first() -> None:
+    """Repeatable requests probe an ejected upstream first."""
+    table = _make_one_ejected()
     booking = table.start(1.5)
     roster = table.start(1.5, is_repeatable=True)
     assert booking is not None
@@ -116,8 +116,8 @@
     assert roster.upstream.instance == 'bad'
 
 
-def test_all_set_aside_are_still_tried() -> None:
-    """A pool that failed as a whole is tried, and found to have recovered."""
+def test_pool_of_ejected_upstreams_is_still_used() -> None:
+    """A pool whose upstreams are all ejected is still used."""
     table = _Table(_make('one'), _make('two'))
     for _ in range(20):
         table.fail(0)
@@ -125,10 +125,9 @@
 
 
 def test_pool_that_fails_for_hours_is_still_tried() -> None:
-    """Each failure makes the time aside longer, up to a bound.
+    """The ejection time grows up to a bound.
 
-    A pool is down over a weekend with callers trying all the time. The
-    entry must not end by a number that grew too large.
+    Guards against a float overflow in a pool that fails for hours.
     """
     table = _Table(_make('one'))
     for turn in range(2000):
@@ -136,8 +135,8 @@
     assert table.serve(1e5)
 
 
-def test_slow_upstream_is_set_aside() -> None:
-    """An upstream that takes many times as long as the others gets no work."""
+def test_slow_upstream_is_ejected() -> None:
+    """An upstream much slower than the others gets hardly any requests."""
     table = _Table(_make('one'), _make('two'), _make('slow'))
     places = []
     for turn in range(90):
@@ -152,8 +151,8 @@
     assert places[30:].count('slow') < 10
 
 
-def test_joined_upstream_gets_little_at_first() -> None:
-    """An upstream that has just started does not get all its slots at once."""
+def test_joined_upstream_warms_up() -> None:
+    """An upstream that has just joined does not use all its slots at once."""
     table = _Table(_make('old'))
     table.join(_make('new'), now_s=50)
     assert _count_started(table, 50) == _SLOTS + 1
@@ -164,8 +163,8 @@
     return sum(table.start(now_s) is not None for _ in range(9))
 
 
-def test_near_comes_first_and_far_when_full() -> None:
-    """The other data centre gets only what does not fit here."""
+def test_local_data_centre_is_preferred() -> None:
+    """The other data centre gets only requests beyond the local slots."""
     table = _Table(_make('far', 'rack-9', 'brest'), _make('near'))
     started = [table.start(0) for _ in range(4)]
     places = [one.upstream.instance for one in started if one]
@@ -173,9 +172,9 @@
 
 
 def test_retry_goes_to_another_rack() -> None:
-    """A request that failed in a rack is tried in another one.
+    """A request that failed in a rack is retried in another one.
 
-    A rack loses its switch. A retry behind the same switch would fail too.
+    Guards against a retry that fails with the same rack.
     """
     table = _Table(*(_make(f'a{number}') for number in range(6)))
     table.join(_make('b', 'rack-2'))
@@ -191,8 +190,8 @@
     assert again.upstream.instance == 'b'
 
 
-def test_retry_waits() -> None:
-    """A retry does not go out in the moment of the failure."""
+def test_retry_backs_off() -> None:
+    """A retry starts only after its back-off."""
     table = _Table(_make('one'))
     started = table.start(0)
     assert started is not None
@@ -201,11 +200,10 @@
     assert table.table.start(table.state, outcome.request, 1)
 
 
-def test_wave_of_failures_is_not_multiplied() -> None:
-    """Retries run out when everything fails.
+def test_retries_are_limited_when_everything_fails() -> None:
+    """The retry budget runs out when everything fails.
 
-    A data centre goes. Without a bound each request would be sent three
-    times, and what is left would break down under it.
+    Guards against retries that multiply the load when a data centre is lost.
     """
     table = _Table(_make('one'), _make('two'))
     retries = 0
@@ -217,8 +215,8 @@
     assert retries == 10
 
 
-def test_impatient_callers_set_nothing_aside() -> None:
-    """Deadlines too short for any upstream say nothing about upstreams."""
+def test_short_deadlines_eject_no_upstream() -> None:
+    """Timeouts of very short deadlines don't eject upstreams."""
     table = _Table(_make('one'), _make('two'))
     for _ in range(9):
         table.serve(0, taken_s=0.5)
--- a/tests/routing/test_attempts_fuzz.py
+++ b/tests/routing/test_attempts_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzz an entry's way to its upstreams against what may ever be sent."""
+"""Stateful fuzzing of an entry's attempts at upstreams."""
 
 from itertools import count
 from typing import Any
@@ -42,10 +42,10 @@
 
 
 class RequestMachine(RuleBasedStateMachine):
-    """Hold one entry; the rules are its callers, upstreams and leader.
+    """Drive one entry by its callers, upstreams and leader.
 
-    The oracle knows what was sent and what came of it, the roster and the
-    places of instances as the entry was last told, and nothing else.
+    The oracle knows the attempts and their results, and the roster and
+    pools of instances that the entry was last sent.
     """
 
     def __init__(self) -> None:
@@ -111,7 +111,7 @@
 
     @rule(choice=st.integers(min_value=0, max_value=99))
     def leave(self, choice: int) -> None:
-        """Let a caller go away."""
+        """Disconnect a caller."""
         present = sorted(set(self._repeatable) - self._concluded - self._left)
         if present:
             request_id = present[choice % len(present)]
@@ -131,13 +131,13 @@
 
     @rule(number=_INSTANCES)
     def go(self, number: int) -> None:
-        """Take an upstream off the roster."""
+        """Remove an upstream from the roster."""
         self._roster.pop(f'enrol-{number}', None)
         self._control(RosterChanged(tuple(self._roster.values())))
 
     @rule(number=_INSTANCES, pool=st.sampled_from(('enrolment', 'other')))
     def move(self, number: int, pool: str) -> None:
-        """Move an instance."""
+        """Move an instance to a pool."""
         self._place(number, pool)
 
     @rule(passed_s=st.sampled_from((0.02, 0.3, 2.0, 20.0)))
@@ -148,7 +148,7 @@
 
     @invariant()
     def retries_stay_in_budget(self) -> None:
-        """Check that retries are a share of good answers."""
+        """Check that retries are limited to a share of good answers."""
         assert self._retries <= 10 + 0.1 * self._answers
 
     def _announce(
@@ -188,7 +188,7 @@
         assert request_id not in self._running
         assert request_id not in self._concluded
         assert request_id not in self._left
-        # What may not be repeated runs at most once.
+        # A request that is not repeatable is sent at most once.
         assert not sent_count or self._repeatable[request_id]
         assert start.is_repeatable is self._repeatable[request_id]
         known = self._roster.get(start.upstream.instance)
@@ -198,12 +198,12 @@
         self._running[request_id] = start
         self._started_s[request_id] = self._now_s
         self._retries += sent_count > 0
-        at_upstream = [
+        running_at_upstream = [
             one
             for one in self._running.values()
             if one.upstream[:2] == start.upstream[:2]
         ]
-        assert len(at_upstream) <= _SLOTS
+        assert len(running_at_upstream) <= _SLOTS
         held = [one for one in self._held_until_s if one > self._now_s]
         assert len(self._running) + len(held) <= _LIMIT
 
