--- a/src/sardinemast/admission/_fair_order.py
+++ b/src/sardinemast/admission/_fair_order.py
@@ -63,7 +63,7 @@
         expected_s = self._usage.count_running(queue_key) * service_s
         return account.virtual_s + expected_s / self.get_allotment(queue_key)
 
-    def note_start(self, queue_key: QueueKey) -> None:
+    def record_start(self, queue_key: QueueKey) -> None:
         """Record the virtual time of the queue that was served."""
         pool = queue_key[0]
         self._last_served_s[pool] = max(
--- a/src/sardinemast/admission/_scheduler.py
+++ b/src/sardinemast/admission/_scheduler.py
@@ -128,7 +128,7 @@
         """Record that a request has started."""
         self._queue.remove(request.request_id)
         self._usage.start(request, now_s)
-        self._fair_order.note_start(request.queue_key)
+        self._fair_order.record_start(request.queue_key)
 
     def end(
         self,
--- a/src/sardinemast/control/_call_handler.py
+++ b/src/sardinemast/control/_call_handler.py
@@ -57,8 +57,8 @@
         record_leaving: Callable[[str, float], None],
     ) -> None:
         self._context = context
-        self._note_announced = record_announcement
-        self._note_leaving = record_leaving
+        self._record_announcement = record_announcement
+        self._record_leaving = record_leaving
         self._waiting: dict[Any, list[CallerId]] = defaultdict(list)
         self._last_sequences: dict[tuple[str, int], int] = {}
         # Bound once: each attribute access of a singledispatchmethod creates a
@@ -165,7 +165,7 @@
         if known is not None and _reverts_drain(known, worker):
             worker = worker._replace(is_draining=True)
         if known == worker:
-            self._note_announced(worker.name, now_s)
+            self._record_announcement(worker.name, now_s)
             return _DONE
         self._propose(commands.RegisterWorker(worker), caller)
         return None
@@ -178,7 +178,7 @@
         now_s: float,
         now_ms: int,
     ) -> CallAnswer | None:
-        self._note_leaving(call.worker, now_s)
+        self._record_leaving(call.worker, now_s)
         return _DONE
 
     @_handle.register
