--- a/tests/builders/claims.py
+++ b/tests/builders/claims.py
@@ -18,7 +18,7 @@
 )
 
 NAMES = ('entry-1', 'entry-2', 'entry-3', 'entry-4')
-BOUND_S = 30.0
+MAX_DURATION_S = 30.0
 
 
 class Envelope(NamedTuple):
@@ -62,7 +62,7 @@
         """Apply the whole log at an entry."""
         node = self.nodes[name]
         node.applied = len(self.log)
-        newest = {one.entry: one for one in self.log}
+        newest = {member.entry: member for member in self.log}
         view = View(node.applied, tuple(newest.values()))
         self.feed(name, ViewChanged(view))
 
@@ -81,7 +81,9 @@
         """Claim a key at an entry and return the request's id."""
         self.last_request += 1
         request_id = self.last_request
-        self.feed(name, ClaimRequested(request_id, key, content, BOUND_S))
+        self.feed(
+            name, ClaimRequested(request_id, key, content, MAX_DURATION_S)
+        )
         return request_id
 
     def end(self, name: str, known: RequestEnded) -> None:
@@ -98,9 +100,9 @@
     def deliver_between(self, first: str, second: str) -> None:
         """Deliver the messages in flight from one entry to another."""
         chosen = [
-            one
-            for one in self.in_flight
-            if (one.sender.entry, one.to) == (first, second)
+            sent
+            for sent in self.in_flight
+            if (sent.sender.entry, sent.to) == (first, second)
         ]
         for envelope in chosen:
             self.in_flight.remove(envelope)
--- a/tests/builders/disks.py
+++ b/tests/builders/disks.py
@@ -19,8 +19,8 @@
     """
 
     def __init__(self) -> None:
-        self.kill_in: int | None = None
-        self.fail_in: int | None = None
+        self.operations_until_kill: int | None = None
+        self.operations_until_error: int | None = None
         self.fails_sync = False
         self._paths: dict[int, Path] = {}
         self._synced_bytes: dict[Path, int] = {}
@@ -53,13 +53,13 @@
         self._synced_bytes.clear()
 
     def _step(self) -> None:
-        if self.fail_in is not None:
-            self.fail_in -= 1
-            if self.fail_in < 0:
+        if self.operations_until_error is not None:
+            self.operations_until_error -= 1
+            if self.operations_until_error < 0:
                 raise OSError(errno.ENOSPC, 'No space left on device')
-        if self.kill_in is not None:
-            self.kill_in -= 1
-            if self.kill_in < 0:
+        if self.operations_until_kill is not None:
+            self.operations_until_kill -= 1
+            if self.operations_until_kill < 0:
                 raise KilledError
 
     def _create(self, path: Path) -> int:
--- a/tests/builders/election_rules.py
+++ b/tests/builders/election_rules.py
@@ -12,7 +12,7 @@
     def __init__(self, worker_count: int) -> None:
         super().__init__()
         self.fleet = ModelFleet(worker_count)
-        self.boots = 1
+        self.last_boot_ms = 1
         self.jobs = 0
 
     @rule()
--- a/tests/builders/jobs.py
+++ b/tests/builders/jobs.py
@@ -164,7 +164,7 @@
         """Pass an event to the leader and record its outputs."""
         if is_kept and isinstance(event, placement.WorkerReported):
             self.events.append(event)
-        self._take(self.core.step(event, self.now_s))
+        self._handle_outputs(self.core.step(event, self.now_s))
 
     def change_leader(self, is_committed: bool) -> None:
         """Start a new leader from a dump of the state.
@@ -222,10 +222,12 @@
 
     def finish(self, worker: str, outcome: placement.RunResult) -> None:
         """End all runs on a worker; all fail if it is faulty."""
-        one = self.workers[worker]
-        for token in tuple(one.runs):
+        simulated_worker = self.workers[worker]
+        for token in tuple(simulated_worker.runs):
             failed = placement.RunResult.failed
-            one.end(token, failed if one.is_faulty else outcome)
+            simulated_worker.end(
+                token, failed if simulated_worker.is_faulty else outcome
+            )
 
     def check(self) -> None:
         """Check the running jobs against limits and capacities."""
@@ -244,14 +246,15 @@
             assert self.final_statuses.get(request.job) is not CANCELLED, (
                 'A cancelled job runs.'
             )
-            used[job.team] += _get_taken(self, request)
+            used[job.team] += _get_reserved_millicores(self, request)
         for team in self.teams:
             assert used[team.name] <= team.millicores_max, (
                 'Team limit exceeded.'
             )
         for worker in self.workers.values():
             taken = sum(
-                _get_taken(self, request) for request in worker.runs.values()
+                _get_reserved_millicores(self, request)
+                for request in worker.runs.values()
             )
             assert taken <= CAPACITY.millicores, (
                 'Capacity of a worker exceeded.'
@@ -271,11 +274,13 @@
 
     def _tick(self) -> None:
         if self.session is None:
-            self._take(self.core.step(placement.Tick(), self.now_s))
+            self._handle_outputs(self.core.step(placement.Tick(), self.now_s))
         else:
-            self._take(self.session.step(placement.Tick(), self.now_s))
+            self._handle_outputs(
+                self.session.step(placement.Tick(), self.now_s)
+            )
 
-    def _take(self, outputs: Iterable[placement.Output]) -> None:
+    def _handle_outputs(self, outputs: Iterable[placement.Output]) -> None:
         for output in outputs:
             if isinstance(output, placement.Propose):
                 self.proposals.append(output.command)
@@ -298,15 +303,19 @@
         worker = self.workers[name]
         known = self.state.workers.get(name)
         if known is None or known.incarnation < worker.incarnation:
-            place = next(one for one in WORKER_LOCATIONS if one[0] == name)
+            location = next(
+                known_location
+                for known_location in WORKER_LOCATIONS
+                if known_location[0] == name
+            )
             worker.lease_until_s = self.now_s + LEASE_S
             self.commit(
                 placement.commands.EnterWorker(
                     name,
                     worker.incarnation,
                     'ouest',
-                    place[1],
-                    place[2],
+                    location[1],
+                    location[2],
                     CAPACITY,
                 ),
             )
@@ -315,7 +324,9 @@
 CANCELLED = placement.JobStatus.cancelled
 
 
-def _get_taken(simulation: JobSimulation, request: placement.AskWorker) -> int:
+def _get_reserved_millicores(
+    simulation: JobSimulation, request: placement.AskWorker
+) -> int:
     run = simulation.state.runs.get(request.token)
     size = run.size if run is not None and run.is_throttled else request.size
     return size.millicores
--- a/tests/builders/model_workers.py
+++ b/tests/builders/model_workers.py
@@ -87,7 +87,9 @@
     def _poll(self, order: PollWorker, true_s: float) -> WorkerReport:
         self.expires_ms = max(self.expires_ms, order.expires_ms or 0)
         self.ends = [
-            one for one in self.ends if one.position > order.acked_position
+            ended_run
+            for ended_run in self.ends
+            if ended_run.position > order.acked_position
         ]
         return WorkerReport(
             self.worker.boot_ms,
--- a/tests/builders/operators.py
+++ b/tests/builders/operators.py
@@ -31,9 +31,9 @@
         self.is_frozen = False
         self.is_cut = False
         self.is_slow = False
-        self.down: deque[ControlMessage] = deque()
-        self.up: deque[EntryMessage] = deque()
-        self.taken: list[ControlMessage] = []
+        self.to_entry: deque[ControlMessage] = deque()
+        self.to_control: deque[EntryMessage] = deque()
+        self.received_messages: list[ControlMessage] = []
         self._clock_rate = clock_rate
 
     def get_time_s(self, now_s: float) -> float:
@@ -48,7 +48,7 @@
         """Pass an event to the core and queue its messages."""
         outputs = self.core.step(event, self.get_time_s(now_s))
         if self.stream_id is not None:
-            self.up.extend(
+            self.to_control.extend(
                 output.message
                 for output in outputs
                 if isinstance(output, entry.SendToControl)
@@ -56,8 +56,8 @@
 
     def take_next(self, now_s: float) -> None:
         """Receive the next message of the stream."""
-        message = self.down.popleft()
-        self.taken.append(message)
+        message = self.to_entry.popleft()
+        self.received_messages.append(message)
         self.step(entry.ControlReceived(message), now_s)
 
 
@@ -134,7 +134,7 @@
         for output in self.leader.step(event, self.now_s):
             for process in self.processes:
                 if process.stream_id == output.stream_id:
-                    process.down.append(output.message)
+                    process.to_entry.append(output.message)
 
     def ask(self, request_id: int, command: Command, wall_s: float = 0) -> None:
         """Send an operator's command."""
@@ -151,11 +151,11 @@
 
     def cut(self, process: Process, keep: int = 0) -> None:
         """Disconnect an entry after delivering ``keep`` queued messages."""
-        while process.down and keep > 0:
+        while process.to_entry and keep > 0:
             process.take_next(self.now_s)
             keep -= 1
-        process.down.clear()
-        process.up.clear()
+        process.to_entry.clear()
+        process.to_control.clear()
         if process.stream_id is not None:
             stream_id = process.stream_id
             process.stream_id = None
@@ -166,7 +166,7 @@
         """Drop all streams and start a new leader from the log."""
         for process in self.processes:
             process.stream_id = None
-            process.up.clear()
+            process.to_control.clear()
         self.leader.start()
 
     def _run(self, process: Process) -> None:
@@ -175,8 +175,8 @@
             return
         if process.stream_id is None and not process.is_cut:
             self._connect(process)
-        while process.down and not process.is_slow:
-            if isinstance(process.down[0], NotLeader):
+        while process.to_entry and not process.is_slow:
+            if isinstance(process.to_entry[0], NotLeader):
                 self.cut(process)
                 return
             process.take_next(self.now_s)
@@ -184,15 +184,15 @@
         self._deliver_up(process)
 
     def _deliver_up(self, process: Process) -> None:
-        while process.up and process.stream_id and not process.is_cut:
+        while process.to_control and process.stream_id and not process.is_cut:
             event = control.EntryMessageReceived(
                 process.stream_id,
-                process.up.popleft(),
+                process.to_control.popleft(),
             )
             self.step_leader(event)
 
     def _connect(self, process: Process) -> None:
-        process.down.clear()
+        process.to_entry.clear()
         self._stream_count += 1
         process.stream_id = self._stream_count
         self.step_leader(
@@ -206,7 +206,7 @@
 
 def get_answer(cluster: Cluster, request_id: int) -> Any:
     """Return the answer to an operator's request, or None."""
-    for one in cluster.leader.answers:
-        if one.request_id == request_id:
-            return one.answer
+    for answer in cluster.leader.answers:
+        if answer.request_id == request_id:
+            return answer.answer
     return None
--- a/tests/builders/platform_fleets.py
+++ b/tests/builders/platform_fleets.py
@@ -129,7 +129,9 @@
 
     def _hold(self, body: dict[str, Any]) -> dict[str, Any]:
         seen = body['last_seen']
-        self._ended = [one for one in self._ended if one[0] > seen]
+        self._ended = [
+            ended_run for ended_run in self._ended if ended_run[0] > seen
+        ]
         if not self._ended:
             self._lock.wait(body.get('wait_ms', 0) / _MS)
         return {
--- a/tests/builders/processes.py
+++ b/tests/builders/processes.py
@@ -68,7 +68,8 @@
     def controls(self) -> str:
         """Return the operator addresses in command-line format."""
         return ','.join(
-            f'127.0.0.1:{one["operator"]["port"]}' for one in self._controls
+            f'127.0.0.1:{control["operator"]["port"]}'
+            for control in self._controls
         )
 
     @property
@@ -93,7 +94,7 @@
             'data_centre': 'rennes',
             'data_folder': str(self.folder / name),
             'controls': [
-                self._apply_relay(name, one) for one in self._controls
+                self._apply_relay(name, control) for control in self._controls
             ],
         }
         if role == 'entry':
@@ -112,7 +113,9 @@
 
     def get_peer_port(self, name: str) -> int:
         """Return the peer port of a control process."""
-        found = next(one for one in self._controls if one['name'] == name)
+        found = next(
+            control for control in self._controls if control['name'] == name
+        )
         return int(found['peer']['port'])
 
     def start_upstream(self, name: str, *options: str) -> None:
--- a/tests/builders/replicas.py
+++ b/tests/builders/replicas.py
@@ -101,7 +101,7 @@
         self.rate = rate
         self.replica: Replica | None = None
         self.frozen_until_s: float = 0
-        self.kill_in: int | None = None
+        self.outputs_until_crash: int | None = None
         self.starts = 0
         self.folders = 0
         self.applied_index = 0
@@ -127,7 +127,7 @@
     def start(self) -> None:
         """Start the replica from its disk."""
         self.starts += 1
-        self.kill_in = None
+        self.outputs_until_crash = None
         self.frozen_until_s = 0
         self.replica = Replica(
             self.settings,
@@ -190,7 +190,7 @@
         self.names = names
         self.true_s: float = 0
         self.in_flight: list[Envelope] = []
-        self.cuts: set[tuple[str, str]] = set()
+        self.cut_links: set[tuple[str, str]] = set()
         self.committed: dict[int, LogEntry] = {}
         self.images: dict[int, bytes] = {}
         self.leaders: dict[int, str] = {}
@@ -219,7 +219,7 @@
         for node in self.nodes.values():
             if node.replica and node.replica.role is Role.leader:
                 members = node.disk.configuration.members
-                return {one.name for one in members if one.is_voter}
+                return {member.name for member in members if member.is_voter}
         return set()
 
     def get_running_nodes(self) -> Iterator[Node]:
@@ -234,12 +234,12 @@
             return
         outputs = node.replica.step(event, node.get_local_s(self.true_s))
         for output in outputs:
-            if node.kill_in == 0:
+            if node.outputs_until_crash == 0:
                 self._write_partially(node, output)
                 node.crash()
                 break
-            if node.kill_in is not None:
-                node.kill_in -= 1
+            if node.outputs_until_crash is not None:
+                node.outputs_until_crash -= 1
             self._execute(node, output)
         self.check_leases()
 
@@ -301,12 +301,12 @@
             if isinstance(envelope.message, RetireRequest)
         }
         kept = {
-            one.disk.folder.identity
-            for one in self.nodes.values()
-            if one is not node
+            other.disk.folder.identity
+            for other in self.nodes.values()
+            if other is not node
         } - retiring
-        for one in self.nodes.values():
-            members = one.disk.configuration.members
+        for other in self.nodes.values():
+            members = other.disk.configuration.members
             voters = {member.identity for member in members if member.is_voter}
             if 2 * len(voters & kept) <= len(voters):
                 return False
@@ -333,10 +333,10 @@
 
     def settle(self) -> None:
         """Remove all faults and check that the replicas converge."""
-        self.cuts.clear()
+        self.cut_links.clear()
         for node in self.nodes.values():
             node.frozen_until_s = 0
-            node.kill_in = None
+            node.outputs_until_crash = None
             if node.replica is None:
                 node.start()
         for _ in range(_SETTLE_ROUNDS):
@@ -380,7 +380,7 @@
 
     def _execute(self, node: Node, output: Output) -> None:
         if isinstance(output, SendMessage):
-            if (node.name, output.to) not in self.cuts:
+            if (node.name, output.to) not in self.cut_links:
                 self.in_flight.append(
                     Envelope(output.to, node.name, output.message, output.route)
                 )
--- a/tests/builders/teams.py
+++ b/tests/builders/teams.py
@@ -56,7 +56,9 @@
         self.holds_messages = False
         self.sent_to_entries: list[control.SendToEntry] = []
         self.answers: list[control.AnswerOperator] = []
-        self._mail: deque[tuple[str, control.PeerMessageReceived]] = deque()
+        self._queued_messages: deque[
+            tuple[str, control.PeerMessageReceived]
+        ] = deque()
 
     def get_leader(self, now_s: float) -> str:
         """Return the name of the leader, or an empty string."""
@@ -69,7 +71,7 @@
         """Pass an event to one core, then deliver messages between cores."""
         if name in self.frozen:
             return
-        self._take(name, self.cores[name].step(event, now_s))
+        self._handle_outputs(name, self.cores[name].step(event, now_s))
         self.deliver(now_s)
 
     def tick(self, now_s: float) -> None:
@@ -79,16 +81,18 @@
 
     def deliver(self, now_s: float) -> None:
         """Deliver messages between cores until the queue is empty."""
-        while self._mail and not self.holds_messages:
-            name, event = self._mail.popleft()
+        while self._queued_messages and not self.holds_messages:
+            name, event = self._queued_messages.popleft()
             if name not in self.frozen:
-                self._take(name, self.cores[name].step(event, now_s))
+                self._handle_outputs(name, self.cores[name].step(event, now_s))
 
-    def _take(self, name: str, outputs: list[control.ControlOutput]) -> None:
+    def _handle_outputs(
+        self, name: str, outputs: list[control.ControlOutput]
+    ) -> None:
         for output in outputs:
             if isinstance(output, consensus.SendMessage):
                 event = control.PeerMessageReceived(name, output.message)
-                self._mail.append((output.to, event))
+                self._queued_messages.append((output.to, event))
             elif isinstance(output, control.SendToEntry):
                 self.sent_to_entries.append(output)
             elif isinstance(output, control.AnswerOperator):
@@ -101,8 +105,8 @@
     def __init__(self, stream_id: int, control_name: str) -> None:
         self.stream_id = stream_id
         self.control_name = control_name
-        self.up: deque[Any] = deque()
-        self.down: deque[Any] = deque()
+        self.to_control: deque[Any] = deque()
+        self.to_entry: deque[Any] = deque()
 
 
 class Work(NamedTuple):
@@ -131,13 +135,13 @@
         outputs = self.core.step(event, now_s)
         for output in outputs:
             if isinstance(output, entry.SendToControl) and self.stream:
-                self.stream.up.append(output.message)
+                self.stream.to_control.append(output.message)
         return outputs
 
     def receive_from_control(self, now_s: float) -> list[entry.EntryOutput]:
         """Receive one message from the control process."""
         assert self.stream is not None
-        message = self.stream.down.popleft()
+        message = self.stream.to_entry.popleft()
         if isinstance(message, NotLeader):
             self.stream = None
             return self.step(entry.ControlDisconnected(), now_s)
--- a/tests/builders/upstreams.py
+++ b/tests/builders/upstreams.py
@@ -16,7 +16,7 @@
     Awaitable[None],
 ]
 
-WHOLE = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
+COMPLETE_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
 
 
 @asynccontextmanager
--- a/tests/builders/waves.py
+++ b/tests/builders/waves.py
@@ -67,7 +67,7 @@
 
     def get_work(self, now_s: float) -> list[Work]:
         """Return the work that is still running."""
-        self.work = [one for one in self.work if one.end_s > now_s]
+        self.work = [work for work in self.work if work.end_s > now_s]
         return self.work
 
     def restart(self) -> None:
@@ -122,7 +122,7 @@
         }
 
 
-class Record:
+class LeaderTraffic:
     """Requests, events and reports exchanged with the leader."""
 
     def __init__(self) -> None:
@@ -151,7 +151,7 @@
         self.stopped_entries: list[SimulatedEntry] = []
         self.proposals: list[maintenance.Command] = []
         self.pending_requests: list[maintenance.AskPlatform] = []
-        self.record = Record()
+        self.record = LeaderTraffic()
         self.session: Session | None = None
         self.commit(maintenance.commands.SetBudgets('b', BUDGETS))
         for name, data_centre, rack, pool in INSTANCE_LOCATIONS:
@@ -278,9 +278,11 @@
     def report(self, entry: SimulatedEntry) -> None:
         """Report the instances on which the entry has running work."""
         busy = frozenset(
-            one.name
-            for one in self.instances.values()
-            if any(work.run == entry.run for work in one.get_work(self.now_s))
+            instance.name
+            for instance in self.instances.values()
+            if any(
+                work.run == entry.run for work in instance.get_work(self.now_s)
+            )
         )
         self.feed(maintenance.DrainsReported(entry.run, entry.applied, busy))
 
@@ -320,9 +322,9 @@
 
     def _record_conditions(self) -> None:
         shown = ', '.join(
-            f'{one.name} in {one.pool}: {one.condition}'
-            for one in self.state.instances.values()
-            if one.condition is not maintenance.Condition.serving
+            f'{instance.name} in {instance.pool}: {instance.condition}'
+            for instance in self.state.instances.values()
+            if instance.condition is not maintenance.Condition.serving
         )
         waves = ', '.join(
             f'{wave.plan.name} is {wave.status} {wave.reason}'.strip()
@@ -333,10 +335,10 @@
 
     def _report_instances(self, silent: set[str]) -> None:
         instance_reports = []
-        for one in self.instances.values():
-            if one.is_up and one.name not in silent:
-                one.pool = self.state.instances[one.name].pool
-                instance_reports.append(one.make_report())
+        for instance in self.instances.values():
+            if instance.is_up and instance.name not in silent:
+                instance.pool = self.state.instances[instance.name].pool
+                instance_reports.append(instance.make_report())
         self.feed(maintenance.InstancesReported(tuple(instance_reports)))
 
     def _end_leases(self) -> None:
@@ -364,19 +366,19 @@
             self._check_return(before, after)
 
     def _check_move(self, before: maintenance.Instance) -> None:
-        one = self.instances[before.name]
-        assert not one.get_work(self.now_s), (
+        instance = self.instances[before.name]
+        assert not instance.get_work(self.now_s), (
             'Pool changed while work is running.'
         )
         for entry in self.entries:
-            assert not entry.may_send(one.name, self.now_s)
+            assert not entry.may_send(instance.name, self.now_s)
 
     def _check_return(
         self, before: maintenance.Instance, after: maintenance.Instance
     ) -> None:
         if before.condition is maintenance.Condition.returning and before.step:
-            one = self.instances[before.name]
-            rebooted = one.rebooted_by.get(before.step.log_index)
+            instance = self.instances[before.name]
+            rebooted = instance.rebooted_by.get(before.step.log_index)
             assert rebooted is not None, 'Returned without a reboot.'
             assert after.incarnation > rebooted, (
                 'Proved by an incarnation before the reboot.'
@@ -394,20 +396,28 @@
 ) -> None:
     """Check all budgets independently after a step on an instance."""
     of_pool = [
-        one for one in state.instances.values() if one.pool == taken.pool
+        instance
+        for instance in state.instances.values()
+        if instance.pool == taken.pool
     ]
     up = [
-        one for one in of_pool if one.condition is maintenance.Condition.serving
+        instance
+        for instance in of_pool
+        if instance.condition is maintenance.Condition.serving
     ]
     down = [
-        one
-        for one in of_pool
-        if one not in up
-        and (one.pool, one.condition)
+        instance
+        for instance in of_pool
+        if instance not in up
+        and (instance.pool, instance.condition)
         != ('spare', maintenance.Condition.set_aside)
     ]
-    budget = next(one for one in BUDGETS.pools if one.pool == taken.pool)
-    racks = [(one.data_centre, one.rack) for one in up]
+    budget = next(
+        pool_budget
+        for pool_budget in BUDGETS.pools
+        if pool_budget.pool == taken.pool
+    )
+    racks = [(instance.data_centre, instance.rack) for instance in up]
     reserve = max(map(racks.count, racks), default=0)
     if budget.reserve is None:
         reserve = 0
@@ -416,11 +426,11 @@
         'Too few instances are serving.'
     )
     out_of_service = [
-        one
-        for one in state.instances.values()
-        if one.data_centre == taken.data_centre
-        and one.condition is not maintenance.Condition.serving
-        and (one.pool, one.condition)
+        instance
+        for instance in state.instances.values()
+        if instance.data_centre == taken.data_centre
+        and instance.condition is not maintenance.Condition.serving
+        and (instance.pool, instance.condition)
         != ('spare', maintenance.Condition.set_aside)
     ]
     assert len(out_of_service) <= BUDGETS.domains[0].down_max, (
--- a/tests/builders/workers.py
+++ b/tests/builders/workers.py
@@ -282,11 +282,11 @@
     def _answer_due(self) -> None:
         waiting = self._waiting
         self._waiting = []
-        for one in waiting:
-            if self._is_due(one):
-                self._answer(one.order)
+        for pending in waiting:
+            if self._is_due(pending):
+                self._answer(pending.order)
             else:
-                self._waiting.append(one)
+                self._waiting.append(pending)
 
     def _is_due(self, waiting: _PendingOutput) -> bool:
         if isinstance(waiting.order, PollWorker):
--- a/tests/consensus/test_bootstrap.py
+++ b/tests/consensus/test_bootstrap.py
@@ -11,7 +11,7 @@
     """
     cluster = Cluster(3)
     cluster.tick()
-    cluster.cuts.add(('control-1', 'control-3'))
+    cluster.cut_links.add(('control-1', 'control-3'))
     cluster.run(60)
     assert not cluster.leaders
     cluster.settle()
--- a/tests/consensus/test_replica_fuzz.py
+++ b/tests/consensus/test_replica_fuzz.py
@@ -54,29 +54,29 @@
     def cut(self, sender: int, distance: int, is_one_way: bool) -> None:
         """Drop messages between two replicas, in one or both directions."""
         pair = (self.pick(sender).name, self.pick(sender + distance).name)
-        self.cluster.cuts.add(pair)
+        self.cluster.cut_links.add(pair)
         if not is_one_way:
-            self.cluster.cuts.add((pair[1], pair[0]))
+            self.cluster.cut_links.add((pair[1], pair[0]))
 
     @rule(number=_NODES)
     def isolate(self, number: int) -> None:
         """Drop all messages between one replica and the others."""
         name = self.pick(number).name
         for other in self.cluster.names:
-            self.cluster.cuts.update(((name, other), (other, name)))
+            self.cluster.cut_links.update(((name, other), (other, name)))
 
     @rule(number=_NODES)
     def reboot(self, number: int) -> None:
         """Restart a replica and cut it off from the leader."""
         node = self.pick(number)
-        self.cluster.cuts.add((self.pick(0).name, node.name))
+        self.cluster.cut_links.add((self.pick(0).name, node.name))
         node.crash()
         node.start()
 
     @rule()
     def heal(self) -> None:
         """Restore all connections."""
-        self.cluster.cuts.clear()
+        self.cluster.cut_links.clear()
 
     def teardown(self) -> None:
         """Check that the replicas serve again after all faults end."""
@@ -155,7 +155,7 @@
     def kill(self, number: int, outputs: int) -> None:
         """Kill a process between two of its next outputs."""
         node = self.pick(number)
-        node.kill_in = outputs
+        node.outputs_until_crash = outputs
 
     @rule(number=_NODES)
     def take_snapshot(self, number: int) -> None:
--- a/tests/consensus/test_restarts.py
+++ b/tests/consensus/test_restarts.py
@@ -20,7 +20,7 @@
     isolated, voter = (
         node for node in cluster.nodes.values() if node is not leader
     )
-    cluster.cuts.add((leader.name, isolated.name))
+    cluster.cut_links.add((leader.name, isolated.name))
     while not any(
         isinstance(envelope.message, VoteRequest)
         for envelope in cluster.in_flight
@@ -29,7 +29,7 @@
         cluster.tick()
     voter.crash()
     voter.start()
-    cluster.cuts.add((leader.name, voter.name))
+    cluster.cut_links.add((leader.name, voter.name))
     cluster.run(6)
     assert voter.replica
     assert voter.replica.leader != isolated.name
--- a/tests/control/test_in_force_cases.py
+++ b/tests/control/test_in_force_cases.py
@@ -124,7 +124,7 @@
     process = cluster.processes[0]
     process.is_slow = True
     cluster.ask(3, WithdrawKey('c3', 'k1'))
-    process.down.clear()
+    process.to_entry.clear()
     process.is_slow = False
     cluster.advance(4)
     assert process.is_serving(cluster.now_s)
@@ -140,7 +140,7 @@
     process = cluster.processes[0]
     process.is_slow = True
     cluster.ask(3, WithdrawKey('c3', 'k1'))
-    process.down.clear()
+    process.to_entry.clear()
     process.is_slow = False
     cluster.ask(4, GrantKey('c4', 'k2', 'petits-pixels', b'other'))
     cluster.advance(0.5)
--- a/tests/control/test_in_force_fuzz.py
+++ b/tests/control/test_in_force_fuzz.py
@@ -140,15 +140,17 @@
     def drop(self, position: int) -> None:
         """Lose one message of a stream."""
         process = self.choose_process(position)
-        if process.down:
-            process.down.popleft()
+        if process.to_entry:
+            process.to_entry.popleft()
 
     @rule(position=_POSITIONS, message=st.integers(0, 100))
     def repeat(self, position: int, message: int) -> None:
         """Deliver an earlier message to a process again."""
         process = self.choose_process(position)
-        if process.taken:
-            repeated = process.taken[-1 - message % len(process.taken)]
+        if process.received_messages:
+            repeated = process.received_messages[
+                -1 - message % len(process.received_messages)
+            ]
             process.step(ControlReceived(repeated), self.cluster.now_s)
 
     @rule(position=_POSITIONS, old=st.sampled_from(('dead', *_KINDS)))
--- a/tests/dispatch/test_dispatch_fuzz.py
+++ b/tests/dispatch/test_dispatch_fuzz.py
@@ -74,8 +74,8 @@
     @rule(number=st.integers(0, _WORKERS - 1))
     def restart_worker(self, number: int) -> None:
         """Restart a worker under its name, without its state."""
-        self.boots += 1
-        self.fleet.add_worker(make_worker(number, boot_ms=self.boots))
+        self.last_boot_ms += 1
+        self.fleet.add_worker(make_worker(number, boot_ms=self.last_boot_ms))
 
     @rule(index=st.integers(0, 50))
     def execute_late_order(self, index: int) -> None:
--- a/tests/dispatch/test_maintenance_fuzz.py
+++ b/tests/dispatch/test_maintenance_fuzz.py
@@ -66,11 +66,11 @@
         """Register the next worker of an instance that was ordered down."""
         instance = f'm-{number}'
         if instance in self.fleet.instances.maintenance_orders:
-            self.boots += 1
+            self.last_boot_ms += 1
             for model in self._find(instance):
                 for task in tuple(model.running):
                     model.end(task, 'stopped')
-            self.fleet.replace_worker(instance, self.boots + 100)
+            self.fleet.replace_worker(instance, self.last_boot_ms + 100)
 
     @rule(number=st.integers(0, _WORKERS - 1))
     def drain(self, number: int) -> None:
--- a/tests/entry/test_limits_fuzz.py
+++ b/tests/entry/test_limits_fuzz.py
@@ -228,7 +228,7 @@
                 and not node.is_frozen
             ):
                 stream = node.stream
-                if not (stream.up or stream.down):
+                if not (stream.to_control or stream.to_entry):
                     break
                 self._deliver_to_control(stream)
                 self._deliver_to_entry(node, stream)
@@ -320,22 +320,22 @@
 
     def _deliver_to_control(self, stream: Stream) -> None:
         is_open = stream.stream_id in self.streams
-        if stream.up and is_open:
+        if stream.to_control and is_open:
             event = control.EntryMessageReceived(
-                stream.stream_id, stream.up.popleft()
+                stream.stream_id, stream.to_control.popleft()
             )
             self.controls.step(stream.control_name, event, self.now_s)
             self._queue_sent_messages()
 
     def _deliver_to_entry(self, node: Node, stream: Stream) -> None:
-        if stream.down and node.stream is stream and not node.is_frozen:
+        if stream.to_entry and node.stream is stream and not node.is_frozen:
             self._process_outputs(node, node.receive_from_control(self.now_s))
 
     def _queue_sent_messages(self) -> None:
         for sent in self.controls.sent_to_entries:
             known = self.streams.get(sent.stream_id)
             if known is not None:
-                known[1].down.append(sent.message)
+                known[1].to_entry.append(sent.message)
         self.controls.sent_to_entries.clear()
 
     def _ask(self, command: object, request_id: int = 0) -> None:
--- a/tests/idempotency/test_claims.py
+++ b/tests/idempotency/test_claims.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from builders.claims import BOUND_S, NAMES, Entries
+from builders.claims import MAX_DURATION_S, NAMES, Entries
 from sardinemast.idempotency import (
     RETENTION_S,
     ClaimOutcome,
@@ -60,7 +60,7 @@
     """
     _grant(entries, 'entry-1', key)
     assert _request_verdict(entries, 'entry-3', key) is ClaimVerdict.in_progress
-    entries.now_s += BOUND_S
+    entries.now_s += MAX_DURATION_S
     assert _request_verdict(entries, 'entry-3', key) is ClaimVerdict.unknown
 
 
@@ -141,5 +141,5 @@
     entries.end('entry-1', ended)
     entries.in_flight = [one for one in entries.in_flight if one.to != name]
     entries.settle()
-    entries.now_s += BOUND_S
+    entries.now_s += MAX_DURATION_S
     assert _request_verdict(entries, name, key) is ClaimVerdict.answered
--- a/tests/shell/test_upstream_client.py
+++ b/tests/shell/test_upstream_client.py
@@ -7,7 +7,7 @@
 import pytest
 
 from builders.upstreams import (
-    WHOLE,
+    COMPLETE_RESPONSE,
     Script,
     answer_with,
     make_request,
@@ -53,7 +53,7 @@
         _HEAD + b'\r\nends with the connection',
         _HEAD + b'X: ' + b'x' * 70_000 + b'\r\nContent-Length: 0\r\n\r\n',
         _HEAD + f'Content-Length: {MAX_RESPONSE_BYTES + 1}\r\n\r\n'.encode(),
-        b'HTTP/1.1 100 Continue\r\n\r\n' * 50 + WHOLE,
+        b'HTTP/1.1 100 Continue\r\n\r\n' * 50 + COMPLETE_RESPONSE,
         b'HTTP/1.1 101 Switching Protocols\r\n\r\nhello',
         b'no HTTP at all\r\n\r\n',
         b'',
@@ -68,8 +68,8 @@
 @pytest.mark.parametrize(
     ('method', 'answer', 'body'),
     [
-        ('POST', WHOLE, b'ok'),
-        ('POST', b'HTTP/1.1 100 Continue\r\n\r\n' + WHOLE, b'ok'),
+        ('POST', COMPLETE_RESPONSE, b'ok'),
+        ('POST', b'HTTP/1.1 100 Continue\r\n\r\n' + COMPLETE_RESPONSE, b'ok'),
         ('HEAD', _HEAD + b'Content-Length: 7\r\n\r\n', b''),
         ('GET', b'HTTP/1.1 204 No Content\r\n\r\n', b''),
         ('GET', b'HTTP/1.1 304 Not Modified\r\nContent-Length: 7\r\n\r\n', b''),
@@ -222,7 +222,7 @@
         number: int,
     ) -> None:
         await reader.readuntil(b'\r\n\r\n')
-        writer.write(WHOLE)
+        writer.write(COMPLETE_RESPONSE)
         await asyncio.sleep(5)
 
     async def run() -> Attempt:
@@ -239,7 +239,7 @@
 
     async def run() -> Attempt:
         client = UpstreamClient()
-        async with serve_script(answer_with(WHOLE)) as upstream:
+        async with serve_script(answer_with(COMPLETE_RESPONSE)) as upstream:
             start = make_start(upstream)
         return await client.send(start, make_request())
 
@@ -251,7 +251,7 @@
 
     async def run() -> Attempt:
         client = UpstreamClient()
-        async with serve_script(answer_with(WHOLE)) as upstream:
+        async with serve_script(answer_with(COMPLETE_RESPONSE)) as upstream:
             start = make_start(upstream)._replace(valid_until_s=0)
             return await client.send(start, make_request())
 
@@ -301,7 +301,7 @@
         number: int,
     ) -> None:
         seen.append(await read_request(reader))
-        writer.write(WHOLE)
+        writer.write(COMPLETE_RESPONSE)
 
     async def run() -> None:
         headers = {
--- a/tests/storage/test_log_store_fuzz.py
+++ b/tests/storage/test_log_store_fuzz.py
@@ -49,8 +49,8 @@
         """Open the folder, and check what is loaded."""
         if self.store is not None:
             self.store.close()
-        self.files.kill_in = None
-        self.files.fail_in = None
+        self.files.operations_until_kill = None
+        self.files.operations_until_error = None
         store, loaded = open_log_store(self.folder, self.files.functions)
         self.store = store
         loaded_state = (loaded.hard_state, loaded.snapshot, loaded.entries)
@@ -59,44 +59,56 @@
         self.possible_states = []
 
     @rule(
-        kill_in=_FAULT_STEPS, fail_in=_FAULT_STEPS, is_power_loss=st.booleans()
+        operations_until_kill=_FAULT_STEPS,
+        operations_until_error=_FAULT_STEPS,
+        is_power_loss=st.booleans(),
     )
     def restart(
         self,
-        kill_in: int,
-        fail_in: int,
+        operations_until_kill: int,
+        operations_until_error: int,
         is_power_loss: bool,
     ) -> None:
         """Restart with a kill or a full disk during the start."""
         self.store = None
         if is_power_loss:
             self.files.lose_power()
-        self.files.kill_in = kill_in
-        self.files.fail_in = fail_in
+        self.files.operations_until_kill = operations_until_kill
+        self.files.operations_until_error = operations_until_error
         try:
             open_log_store(self.folder, self.files.functions)[0].close()
         except (KilledError, StorageError):
             self.files.lose_power()
         self.reopen()
 
-    @rule(term=st.integers(1, 9), kill_in=_FAULT_STEPS, fail_in=_FAULT_STEPS)
-    def save_hard_state(self, term: int, kill_in: int, fail_in: int) -> None:
+    @rule(
+        term=st.integers(1, 9),
+        operations_until_kill=_FAULT_STEPS,
+        operations_until_error=_FAULT_STEPS,
+    )
+    def save_hard_state(
+        self, term: int, operations_until_kill: int, operations_until_error: int
+    ) -> None:
         """Save a term and a vote."""
         saved = HardState(term, 'control-2')
-        self.run_step((saved, *self.state[1:]), kill_in, fail_in)
+        self.run_step(
+            (saved, *self.state[1:]),
+            operations_until_kill,
+            operations_until_error,
+        )
 
     @rule(
         truncated_count=st.integers(0, 3),
         count=st.integers(1, 4),
-        kill_in=_FAULT_STEPS,
-        fail_in=_FAULT_STEPS,
+        operations_until_kill=_FAULT_STEPS,
+        operations_until_error=_FAULT_STEPS,
     )
     def append(
         self,
         truncated_count: int,
         count: int,
-        kill_in: int,
-        fail_in: int,
+        operations_until_kill: int,
+        operations_until_error: int,
     ) -> None:
         """Append entries, replacing some of the newest."""
         hard_state, snapshot, entries = self.state
@@ -108,19 +120,22 @@
             added = (*added, LogEntry(index, 1, b'x' * (truncated_count + 1)))
             self.possible_states.append((hard_state, snapshot, kept + added))
         self.run_step(
-            (hard_state, snapshot, kept + added), kill_in, fail_in, added
+            (hard_state, snapshot, kept + added),
+            operations_until_kill,
+            operations_until_error,
+            added,
         )
 
     @rule(
         covered_count=st.integers(0, 5),
-        kill_in=_FAULT_STEPS,
-        fail_in=_FAULT_STEPS,
+        operations_until_kill=_FAULT_STEPS,
+        operations_until_error=_FAULT_STEPS,
     )
     def snapshot(
         self,
         covered_count: int,
-        kill_in: int,
-        fail_in: int,
+        operations_until_kill: int,
+        operations_until_error: int,
     ) -> None:
         """Replace the oldest entries by a snapshot."""
         hard_state, _, entries = self.state
@@ -129,21 +144,21 @@
             image = Snapshot(last.log_index, 1, Configuration('', ()), b'i')
             self.run_step(
                 (hard_state, image, entries[covered_count + 1 :]),
-                kill_in,
-                fail_in,
+                operations_until_kill,
+                operations_until_error,
             )
 
     def run_step(
         self,
         after: State,
-        kill_in: int,
-        fail_in: int,
+        operations_until_kill: int,
+        operations_until_error: int,
         added: tuple[LogEntry, ...] = (),
     ) -> None:
         """Write a state, which is acknowledged if no error is raised."""
         assert self.store
-        self.files.kill_in = kill_in
-        self.files.fail_in = fail_in
+        self.files.operations_until_kill = operations_until_kill
+        self.files.operations_until_error = operations_until_error
         self.possible_states.append(after)
         try:
             self.write(after, added)
@@ -153,8 +168,8 @@
                     self.store.append_entries(added)
             self.reopen()
             return
-        self.files.kill_in = None
-        self.files.fail_in = None
+        self.files.operations_until_kill = None
+        self.files.operations_until_error = None
         self.state = after
         self.possible_states = []
 
