--- a/tests/processes/test_control_failures.py
+++ b/tests/processes/test_control_failures.py
@@ -1,4 +1,4 @@
-"""Control processes that are killed while the fleet serves."""
+"""All control processes of a fleet are killed at once."""
 
 from pathlib import Path
 
@@ -13,13 +13,8 @@
 """
 
 
-def test_killed_majority_forgets_nothing(tmp_path: Path) -> None:
-    """Keep what was acknowledged when all control processes are killed.
-
-    Every control process loses its power at once right after an operator
-    was told that a change is accepted. If the change was only in memory, the
-    operator finds the old settings after the restart.
-    """
+def test_accepted_settings_survive_full_restart(tmp_path: Path) -> None:
+    """Accepted settings are written to disk, not only held in memory."""
     base = tmp_path / 'base.yaml'
     base.write_text(_BASE)
     with run_fleet(tmp_path, entry_count=1) as fleet:
@@ -28,5 +23,5 @@
             fleet.kill(name)
         for name in fleet.control_names:
             fleet.start(name)
-        found = wait_for(lambda: queries.show(fleet.controls))
-    assert found['version'] == 1
+        settings = wait_for(lambda: queries.show(fleet.controls))
+    assert settings['version'] == 1
--- a/tests/processes/test_credentials.py
+++ b/tests/processes/test_credentials.py
@@ -1,4 +1,4 @@
-"""Processes and operators with and without credentials."""
+"""Mutual TLS between control processes, entries and operators."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -22,64 +22,65 @@
         yield running
 
 
-def _use(
+def _set_credentials(
     folder: Path,
     authority: trustme.CA | None,
     unit: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     assert authority is not None
-    written = write_certificate(folder, authority, 'someone', unit)
-    written.certificate.rename(folder / 'certificate.pem')
-    written.private_key.rename(folder / 'private-key.pem')
+    issued = write_certificate(folder, authority, 'someone', unit)
+    issued.certificate.rename(folder / 'certificate.pem')
+    issued.private_key.rename(folder / 'private-key.pem')
     monkeypatch.setenv(CREDENTIALS_VARIABLE, str(folder))
 
 
-def test_operator_commands_and_entry_serves(
+def test_valid_certificates_are_accepted(
     fleet: Fleet,
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With certificates of one authority, all work together."""
-    _use(tmp_path, fleet.authority, 'operator', monkeypatch)
-    found = wait_for(lambda: queries.show(fleet.controls))
-    assert found['version'] == 0
+    """Operators and entries reach a control process of their authority."""
+    _set_credentials(tmp_path, fleet.authority, 'operator', monkeypatch)
+    settings = wait_for(lambda: queries.show(fleet.controls))
+    assert settings['version'] == 0
     fleet.wait_until_serving()
     events = queries.timeline(fleet.controls, fleet.entries)
     assert 'role=leader' in events
 
 
-def test_process_may_not_command(
+def test_process_certificate_cannot_command(
     fleet: Fleet,
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Refuse an operator's request that comes with a process's certificate.
+    """Operator commands are refused with the certificate of a process.
 
-    Somebody gets hold of one entry's private key. If it worked for operators
-    too, they could withdraw keys and lift limits.
+    Otherwise a stolen entry certificate would allow withdrawing keys and
+    raising limits.
     """
-    _use(tmp_path, fleet.authority, 'process', monkeypatch)
+    _set_credentials(tmp_path, fleet.authority, 'process', monkeypatch)
     fleet.wait_until_serving()
     answer = queries.show(fleet.controls)
     assert answer['code'] == 'control.E003'
 
 
-def test_stranger_gets_no_lease(fleet: Fleet, tmp_path: Path) -> None:
-    """Give nothing to an entry whose certificate is of another authority.
+def test_entry_of_other_authority_gets_no_lease(
+    fleet: Fleet, tmp_path: Path
+) -> None:
+    """An entry with a certificate of another authority is rejected.
 
-    A process that somebody else started reaches a control process's port. If
-    it were let in, it would be sent the digests of all keys, and count as an
-    entry that operators wait for.
+    Otherwise it would receive the digests of all keys, and operators'
+    commands would wait for it.
     """
     fleet.wait_until_serving()
-    own = fleet.authority
+    trusted_authority = fleet.authority
     fleet.authority = trustme.CA()
     fleet.add_entry('entry-9')
     try:
         fleet.start('entry-9')
     finally:
-        fleet.authority = own
+        fleet.authority = trusted_authority
     health = wait_for(
         lambda: call(fleet.get_entry_address('entry-9'), '/-/health'),
     )
@@ -88,11 +89,11 @@
     assert health.code == 503
 
 
-def test_operator_without_certificate_is_cut(
+def test_operator_without_certificate_is_rejected(
     fleet: Fleet,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Whoever has no certificate reaches nothing."""
+    """The connection of an operator without a certificate is rejected."""
     monkeypatch.delenv(CREDENTIALS_VARIABLE, raising=False)
     fleet.wait_until_serving()
     with pytest.raises(CodedError, match=r'cli\.E001'):
--- a/tests/processes/test_whole_path.py
+++ b/tests/processes/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes on loopback."""
+"""End-to-end tests with real processes on loopback."""
 
 import json
 from collections.abc import Iterator
@@ -51,22 +51,22 @@
     return str(answer['key'])
 
 
-def test_any_entry_serves(fleet: Fleet) -> None:
-    """A request gets the whole answer through each entry."""
+def test_each_entry_serves(fleet: Fleet) -> None:
+    """Each entry forwards requests to an upstream."""
     key = _grant(fleet, 'any-entry')
     for name in fleet.entry_names:
         address = fleet.get_entry_address(name)
-        response = wait_for(partial(_get_served, address, key))
+        response = wait_for(partial(_get_roster, address, key))
         assert json.loads(response.body)['uri'] == '/enrolment/roster?day=6'
 
 
-def _get_served(address: str, key: str) -> object:
+def _get_roster(address: str, key: str) -> object:
     response = call(address, '/enrolment/roster?day=6', key)
     return response if response.code == 200 else None
 
 
-def test_withdrawn_key_stops_everywhere(fleet: Fleet) -> None:
-    """Once the operator is told, no entry takes the key any more."""
+def test_withdrawn_key_is_refused_by_all_entries(fleet: Fleet) -> None:
+    """No entry accepts a key once its withdrawal is confirmed."""
     key = _grant(fleet, 'withdrawn')
     answer = commands.withdraw_key('withdrawn', controls=fleet.controls)
     assert answer['entries_in_force'] == answer['entries_total']
@@ -76,21 +76,21 @@
 
 
 def test_events_of_all_processes_are_merged(fleet: Fleet) -> None:
-    """The time line holds events of control processes and entries."""
+    """The timeline includes events of control processes and entries."""
     addresses = f'{fleet.controls},{fleet.entries}'.split(',')
     assert 'role=leader' in queries.timeline(*addresses)
 
 
 def test_latencies_of_entries_are_merged(fleet: Fleet) -> None:
-    """Requests through two entries are counted together by team."""
+    """Requests of a team through two entries are counted together."""
     key = _grant(fleet, 'measured')
     addresses = [
         fleet.get_entry_address(name) for name in fleet.entry_names[:2]
     ]
     for address in addresses:
-        wait_for(partial(_get_served, address, key))
-    found = queries.latencies(*addresses)['latencies']
-    by_name = {(one['dimension'], one['name']): one for one in found}
+        wait_for(partial(_get_roster, address, key))
+    latencies = queries.latencies(*addresses)['latencies']
+    by_name = {(one['dimension'], one['name']): one for one in latencies}
     assert by_name['team', 'petits-pixels']['requests'] >= 2
     assert ('service', 'enrolment') in by_name
     metrics = call(addresses[0], '/-/metrics').body.decode()
@@ -98,13 +98,13 @@
 
 
 def test_earlier_version_is_restored(fleet: Fleet, tmp_path: Path) -> None:
-    """Going back makes a new version, and the difference can be shown."""
+    """Restoring a version creates a new one without differences."""
     base = tmp_path / 'base.yaml'
     base.write_text(_BASE.replace('limit: 9', 'limit: 8'))
     first = queries.show(fleet.controls)['version']
     commands.apply(str(base), controls=fleet.controls)
-    changed = queries.diff(first, first + 1, fleet.controls)['changes']
-    assert [one['path'] for one in changed] == ['teams.petits-pixels.limit']
+    changes = queries.diff(first, first + 1, fleet.controls)['changes']
+    assert [one['path'] for one in changes] == ['teams.petits-pixels.limit']
     commands.restore(first, controls=fleet.controls)
-    back = queries.diff(first, first + 2, fleet.controls)['changes']
-    assert back == []
+    remaining = queries.diff(first, first + 2, fleet.controls)['changes']
+    assert remaining == []
--- a/tests/processes/test_examples.py
+++ b/tests/processes/test_examples.py
@@ -1,4 +1,4 @@
-"""The example fleets, started as they are."""
+"""The settings of the example fleets, applied unchanged."""
 
 from pathlib import Path
 
@@ -24,7 +24,7 @@
     team: str,
     tmp_path: Path,
 ) -> None:
-    """The fleet's files are applied and a request of a team is served."""
+    """The example's settings are accepted and a request is served."""
     folder = _EXAMPLES / name
     overlays = [str(path) for path in folder.glob('site-*.yaml')]
     with run_fleet(tmp_path, control_count=1, entry_count=1) as fleet:
@@ -39,5 +39,5 @@
         key = commands.grant_key(team, controls=fleet.controls)['key']
         path = f'/{pool}/orders'
         wait_for(lambda: call(fleet.entries, path, key).code == 200)
-        found = queries.show(fleet.controls)
-    assert len(found['pools']) == 5
+        settings = queries.show(fleet.controls)
+    assert len(settings['pools']) == 5
--- a/tests/processes/test_cuts.py
+++ b/tests/processes/test_network_partitions.py
@@ -1,4 +1,4 @@
-"""Control processes between which the network fails silently."""
+"""Network partitions between control processes."""
 
 from collections.abc import Callable
 from functools import partial
@@ -18,29 +18,30 @@
 """
 
 
-def _cut_all(relays: Relays, name: str, is_cut: bool) -> None:
+def _drop_both_directions(relays: Relays, name: str, is_cut: bool) -> None:
     relays.cut_from(name, is_cut=is_cut)
     relays.cut_to(name, is_cut=is_cut)
 
 
-def _cut_sending(relays: Relays, name: str, is_cut: bool) -> None:
+def _drop_outgoing(relays: Relays, name: str, is_cut: bool) -> None:
     relays.cut_from(name, is_cut=is_cut)
 
 
-def _cut_hearing(relays: Relays, name: str, is_cut: bool) -> None:
+def _drop_incoming(relays: Relays, name: str, is_cut: bool) -> None:
     relays.cut_to(name, is_cut=is_cut)
 
 
-@pytest.mark.parametrize('cut', [_cut_all, _cut_sending, _cut_hearing])
-def test_cut_leader_is_replaced(
+@pytest.mark.parametrize(
+    'set_partition', [_drop_both_directions, _drop_outgoing, _drop_incoming]
+)
+def test_partitioned_leader_is_replaced(
     tmp_path: Path,
-    cut: Callable[[Relays, str, bool], None],
+    set_partition: Callable[[Relays, str, bool], None],
 ) -> None:
-    """Replace a leader whose network drops packets without an error.
+    """A leader is replaced when its packets are dropped silently.
 
-    A switch loses what the leader sends, or what it is sent, or both; no
-    stream breaks. The others must elect another leader, and what they accept
-    meanwhile must hold when the old one is back.
+    No connection is reset. The others elect a new leader, and the settings
+    that it accepts stay in force after the partition heals.
     """
     base = tmp_path / 'base.yaml'
     base.write_text(_BASE)
@@ -57,8 +58,8 @@
             zip(fleet.control_names, fleet.controls.split(','), strict=True),
         )
         others = ','.join(set(addresses.values()) - {addresses[leader]})
-        cut(relays, leader, True)
+        set_partition(relays, leader, True)
         wait_for(partial(apply, controls=others))
-        cut(relays, leader, False)
-        found = wait_for(partial(queries.show, fleet.controls))
-        assert found['version'] == 2
+        set_partition(relays, leader, False)
+        settings = wait_for(partial(queries.show, fleet.controls))
+        assert settings['version'] == 2
--- a/tests/processes/test_replicas.py
+++ b/tests/processes/test_replicas.py
@@ -1,4 +1,4 @@
-"""Control processes whose process, disk or network fails."""
+"""Control processes that crash, pause or lose their disk."""
 
 import resource
 import shutil
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    """Run three control processes with an accepted version."""
+    """Run three control processes with one applied version of settings."""
     base = tmp_path / 'base.yaml'
     base.write_text(_BASE)
     with run_fleet(tmp_path, entry_count=0) as running:
@@ -37,20 +37,20 @@
 
 
 def _get_version(fleet: Fleet) -> int:
-    found = wait_for(partial(queries.show, fleet.controls))
-    return int(found['version'])
+    settings = wait_for(partial(queries.show, fleet.controls))
+    return int(settings['version'])
 
 
-def _get_log(fleet: Fleet, name: str) -> str:
+def _read_log(fleet: Fleet, name: str) -> str:
     return (fleet.folder / f'{name}.log').read_text()
 
 
 def _get_leader(fleet: Fleet) -> str:
-    """Give who led last, by the newest term in the logs."""
+    """Return the leader of the highest term found in the logs."""
     terms = {
         int(line.split('Term ')[1].split(':')[0]): name
         for name in fleet.control_names
-        for line in _get_log(fleet, name).splitlines()
+        for line in _read_log(fleet, name).splitlines()
         if line.endswith(': leader.')
     }
     return terms[max(terms)]
@@ -69,42 +69,37 @@
     return ','.join(addresses.values())
 
 
-def _wait_for_new_folder(fleet: Fleet, name: str, replaced: str) -> None:
-    """Wait until another folder is the voter of the name, and no other."""
+def _wait_for_replacement(fleet: Fleet, name: str, old_identity: str) -> None:
+    """Wait until the replica of the name votes under a new identity."""
 
     def is_replaced() -> bool:
-        found = queries.replicas(fleet.controls)['replicas']
-        own = [one for one in found if one['name'] == name]
+        replicas = queries.replicas(fleet.controls)['replicas']
+        matching = [one for one in replicas if one['name'] == name]
         return (
-            len(found) == 3
-            and own[0]['is_voter']
-            and own[0]['identity'] != replaced
+            len(replicas) == 3
+            and matching[0]['is_voter']
+            and matching[0]['identity'] != old_identity
         )
 
     wait_for(is_replaced)
 
 
-def _get_folder(fleet: Fleet, name: str) -> str:
-    found = wait_for(partial(queries.replicas, fleet.controls))['replicas']
-    return str(next(one['identity'] for one in found if one['name'] == name))
+def _get_identity(fleet: Fleet, name: str) -> str:
+    replicas = wait_for(partial(queries.replicas, fleet.controls))['replicas']
+    return str(next(one['identity'] for one in replicas if one['name'] == name))
 
 
 def test_killed_leader_is_replaced(fleet: Fleet) -> None:
-    """Serve by a new leader after kill -9 of the old one.
-
-    The process that leads loses its power. Operators must find what they were
-    told is accepted at the next leader.
-    """
+    """A new leader has the accepted settings after the old one is killed."""
     fleet.kill(_get_leader(fleet))
     assert _get_version(fleet) == 1
     assert _apply(fleet)['version'] == 2
 
 
-def test_frozen_leader_comes_back_as_follower(fleet: Fleet) -> None:
-    """Follow the new leader after a freeze longer than a lease.
+def test_paused_leader_becomes_follower(fleet: Fleet) -> None:
+    """A leader paused for longer than its lease does not serve old settings.
 
-    The host of the leader stands still while the others elect another one.
-    Were it to go on as before, it would show operators an old version.
+    When it resumes, it follows the leader elected meanwhile.
     """
     leader = _get_leader(fleet)
     fleet.signal(leader, signal.SIGSTOP)
@@ -116,39 +111,37 @@
     assert _get_leader(fleet) != leader
 
 
-def test_deleted_folder_is_replaced(fleet: Fleet) -> None:
-    """Take a replica with an empty disk in under a new identity.
+def test_deleted_folder_gets_new_identity(fleet: Fleet) -> None:
+    """A replica that lost its data folder rejoins under a new identity.
 
-    A disk is lost and the process starts with an empty folder. Under its old
-    identity it could vote for a leader that lacks an accepted version. Right
-    after the repair a second replica is lost, and nothing may be missing.
+    Under its old identity it could vote for a leader that lacks an accepted
+    version. No version is lost if a second replica fails after the repair.
     """
     name = _get_follower(fleet)
-    replaced = _get_folder(fleet, name)
+    old_identity = _get_identity(fleet, name)
     fleet.kill(name)
     shutil.rmtree(fleet.folder / name)
     fleet.start(name)
-    _wait_for_new_folder(fleet, name, replaced)
-    second = next(
+    _wait_for_replacement(fleet, name, old_identity)
+    other_follower = next(
         one
         for one in fleet.control_names
         if one not in {name, _get_leader(fleet)}
     )
-    fleet.kill(second)
-    shutil.rmtree(fleet.folder / second)
+    fleet.kill(other_follower)
+    shutil.rmtree(fleet.folder / other_follower)
     fleet.kill(_get_leader(fleet))
     fleet.start(_get_leader(fleet))
     assert _get_version(fleet) == 1
 
 
-def test_old_copy_is_told_apart(fleet: Fleet) -> None:
-    """Set an old copy of a data folder aside.
+def test_restored_backup_is_set_aside(fleet: Fleet) -> None:
+    """A data folder restored from a backup is set aside.
 
-    An operator puts a backup of the folder back. It lacks what the replica
-    has acknowledged since, and would let others forget that.
+    It lacks entries that the replica has acknowledged since the backup.
     """
     name = _get_follower(fleet)
-    replaced = _get_folder(fleet, name)
+    old_identity = _get_identity(fleet, name)
     folder = fleet.folder / name
     shutil.copytree(folder, fleet.folder / 'backup')
     assert _apply(fleet)['version'] == 2
@@ -156,27 +149,27 @@
     shutil.rmtree(folder)
     shutil.copytree(fleet.folder / 'backup', folder)
     fleet.start(name)
-    _wait_for_new_folder(fleet, name, replaced)
-    assert 'storage.E003' in _get_log(fleet, name)
+    _wait_for_replacement(fleet, name, old_identity)
+    assert 'storage.E003' in _read_log(fleet, name)
     assert _get_version(fleet) == 2
 
 
-def test_operator_replaces_a_folder(fleet: Fleet) -> None:
-    """Replace the folder of a running replica on an operator's word."""
+def test_operator_replaces_data_folder(fleet: Fleet) -> None:
+    """An operator's command replaces the data folder of a running replica."""
     name = _get_follower(fleet)
-    replaced = _get_folder(fleet, name)
+    old_identity = _get_identity(fleet, name)
     wait_for(
         partial(commands.repair_replica, name, controls=fleet.controls),
     )
-    _wait_for_new_folder(fleet, name, replaced)
+    _wait_for_replacement(fleet, name, old_identity)
     assert _get_version(fleet) == 1
 
 
-def test_unusable_folder_ends_the_process(fleet: Fleet) -> None:
-    """End with a coded line where the data folder cannot be written.
+def test_process_exits_on_unusable_folder(fleet: Fleet) -> None:
+    """A process exits with an error code if its data folder is unusable.
 
-    The folder's place is taken by a file, as a stand-in for a broken disk. A
-    process that went on would look alive and decide nothing.
+    A file in place of the folder simulates a broken disk. A process that kept
+    running would seem healthy without being able to store anything.
     """
     name = _get_follower(fleet)
     fleet.kill(name)
@@ -184,14 +177,13 @@
     (fleet.folder / name).write_text('')
     fleet.start(name)
     assert fleet.processes[name].wait() == 1
-    assert 'storage.E002' in _get_log(fleet, name)
+    assert 'storage.E002' in _read_log(fleet, name)
 
 
-def test_full_disk_ends_the_process(fleet: Fleet) -> None:
-    """End with a coded line once the log cannot grow any more.
+def test_process_exits_on_full_disk(fleet: Fleet) -> None:
+    """A process exits with an error code once its log cannot grow.
 
-    The disk of a replica is full. What it could not write it must not answer
-    for, and a process that only listened would look alive for ever.
+    It must not acknowledge entries that it could not write.
     """
     name = _get_follower(fleet)
     process = fleet.processes[name]
@@ -208,5 +200,5 @@
 
     wait_for(has_ended)
     assert process.poll() == 1
-    assert 'storage.E002' in _get_log(fleet, name)
+    assert 'storage.E002' in _read_log(fleet, name)
     assert _get_version(fleet) > 1
--- a/tests/processes/test_requests.py
+++ b/tests/processes/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through real processes that are killed, frozen or misbehave."""
+"""Requests while entries or upstreams fail, pause or shut down."""
 
 import json
 import signal
@@ -19,8 +19,8 @@
 from sardinemast.cli import commands
 from sardinemast.shell._connection_pool import MAX_IDLE_S
 
-_CALLERS = 8
-_PATIENCE_S = 30
+_CALLER_COUNT = 8
+_EXIT_TIMEOUT_S = 30
 _POOLS = (
     'enrolment',
     'slow',
@@ -33,17 +33,17 @@
     'lengths',
 )
 
-_GOOD_ANNOUNCEMENT = make_announcement()._asdict()
-_BAD_ANNOUNCEMENTS: tuple[Any, ...] = (
+_VALID_ANNOUNCEMENT = make_announcement()._asdict()
+_INVALID_ANNOUNCEMENTS: tuple[Any, ...] = (
     [],
     'text',
     {},
-    {**_GOOD_ANNOUNCEMENT, 'port': 99_999},
-    {**_GOOD_ANNOUNCEMENT, 'port': '80'},
-    {**_GOOD_ANNOUNCEMENT, 'host': 'upstream.example'},
-    {**_GOOD_ANNOUNCEMENT, 'instance': ''},
-    {**_GOOD_ANNOUNCEMENT, 'instance': 'x' * 300},
-    {**_GOOD_ANNOUNCEMENT, 'status': 'asleep'},
+    {**_VALID_ANNOUNCEMENT, 'port': 99_999},
+    {**_VALID_ANNOUNCEMENT, 'port': '80'},
+    {**_VALID_ANNOUNCEMENT, 'host': 'upstream.example'},
+    {**_VALID_ANNOUNCEMENT, 'instance': ''},
+    {**_VALID_ANNOUNCEMENT, 'instance': 'x' * 300},
+    {**_VALID_ANNOUNCEMENT, 'status': 'asleep'},
 )
 
 
@@ -54,7 +54,7 @@
         yield running
 
 
-def _declare(fleet: Fleet) -> str:
+def _apply_and_grant_key(fleet: Fleet) -> str:
     pools = ', '.join(f'{pool}: {{deadline_s: 4}}' for pool in _POOLS)
     base = fleet.folder / 'base.yaml'
     base.write_text(
@@ -63,13 +63,13 @@
         'teams: {petits-pixels: {share: 1, limit: 60}}\n'
     )
     wait_for(lambda: commands.apply(str(base), controls=fleet.controls))
-    granted = commands.grant_key(
+    grant = commands.grant_key(
         'petits-pixels', 'requests', controls=fleet.controls
     )
-    return str(granted['key'])
+    return str(grant['key'])
 
 
-def _start(fleet: Fleet, pool: str, *options: str) -> str:
+def _start_upstream(fleet: Fleet, pool: str, *options: str) -> str:
     port = find_ports(1)[0]
     fleet.start_upstream(
         f'{pool}-1', f'--pool={pool}', f'--port={port}', *options
@@ -77,12 +77,13 @@
     return f'127.0.0.1:{port}'
 
 
-def _wait_until_served(fleet: Fleet, key: str) -> None:
+def _wait_until_ready(fleet: Fleet, key: str) -> None:
     for name in fleet.entry_names:
         address = fleet.get_entry_address(name)
         wait_for(partial(_is_served, address, key))
-        # An entry serves before it has heard the others' keys. If another one
-        # is lost in between, both are missed, and keys are refused.
+        # An entry serves before it has received the idempotency keys of the
+        # others. If another holder of keys failed meanwhile, too few would be
+        # left, and requests with keys would be refused.
         wait_for(partial(_holds_keys, address))
 
 
@@ -94,7 +95,7 @@
     return call(address, '/enrolment/up', key).code == HTTPStatus.OK
 
 
-def _is_unknown(address: str, key: str) -> bool:
+def _has_unknown_outcome(address: str, key: str) -> bool:
     return bool(_get_code(_book(address, key)) == 'idempotency.E006')
 
 
@@ -107,7 +108,7 @@
     )
 
 
-def _count_runs(upstream: str, path: str = '/enrolment/book') -> int:
+def _count_requests(upstream: str, path: str = '/enrolment/book') -> int:
     return int(json.loads(call(upstream, '/-/runs').body).get(path, 0))
 
 
@@ -115,81 +116,78 @@
     return json.loads(response.body).get('code')
 
 
-def test_resend_through_any_entry_runs_once(fleet: Fleet) -> None:
-    """A caller sends a booking again through the other entries.
-
-    The answer was lost on the way. Run again, a family pays twice.
-    """
-    key = _declare(fleet)
-    upstream = _start(fleet, 'enrolment')
-    _wait_until_served(fleet, key)
-    answers = [
-        wait_for(partial(_get_served, fleet.get_entry_address(name), key))
+def test_resent_request_runs_once(fleet: Fleet) -> None:
+    """A booking resent through other entries runs once."""
+    key = _apply_and_grant_key(fleet)
+    upstream = _start_upstream(fleet, 'enrolment')
+    _wait_until_ready(fleet, key)
+    responses = [
+        wait_for(partial(_book_or_raise, fleet.get_entry_address(name), key))
         for name in fleet.entry_names
     ]
-    assert len({answer.body for answer in answers}) == 1
-    assert 'Idempotent-Replayed' in answers[1].headers
-    assert _count_runs(upstream) == 1
+    assert len({response.body for response in responses}) == 1
+    assert 'Idempotent-Replayed' in responses[1].headers
+    assert _count_requests(upstream) == 1
 
 
-def _get_served(address: str, key: str) -> HTTPResponse:
+def _book_or_raise(address: str, key: str) -> HTTPResponse:
     response = _book(address, key)
     if response.code != HTTPStatus.OK:
         raise OSError(f'{address}: {response.code} {response.body!r}')
     return response
 
 
-def test_entry_killed_between_sent_and_answer(fleet: Fleet) -> None:
-    """An entry is killed after it sent a booking and before the answer.
+def test_entry_killed_before_response(fleet: Fleet) -> None:
+    """An entry is killed while an upstream processes its request.
 
-    The caller sees its connection break and sends the booking again to
-    another entry. It must not run again.
+    The booking does not run again when the caller resends it through another
+    entry.
     """
-    key = _declare(fleet)
-    upstream = _start(fleet, 'enrolment', '--delay_s=1')
-    _wait_until_served(fleet, key)
+    key = _apply_and_grant_key(fleet)
+    upstream = _start_upstream(fleet, 'enrolment', '--delay_s=1')
+    _wait_until_ready(fleet, key)
     with ThreadPoolExecutor() as threads:
-        first: Future[HTTPResponse] = threads.submit(
+        first_attempt: Future[HTTPResponse] = threads.submit(
             _book, fleet.get_entry_address('entry-1'), key
         )
-        wait_for(lambda: _count_runs(upstream))
+        wait_for(lambda: _count_requests(upstream))
         fleet.kill('entry-1')
         resent = _book(fleet.get_entry_address('entry-2'), key)
         assert _get_code(resent) == 'idempotency.E003'
-        assert first.exception()
+        assert first_attempt.exception()
     fleet.start('entry-1')
     for name in fleet.entry_names:
         address = fleet.get_entry_address(name)
-        wait_for(partial(_is_unknown, address, key))
-    assert _count_runs(upstream) == 1
+        wait_for(partial(_has_unknown_outcome, address, key))
+    assert _count_requests(upstream) == 1
 
 
-def test_frozen_entry_stops_no_key(fleet: Fleet) -> None:
-    """An entry is frozen; the others go on to tell resends apart."""
-    key = _declare(fleet)
-    upstream = _start(fleet, 'enrolment')
-    _wait_until_served(fleet, key)
+def test_paused_entry_blocks_no_keys(fleet: Fleet) -> None:
+    """The other entries recognize resent requests while one is paused."""
+    key = _apply_and_grant_key(fleet)
+    upstream = _start_upstream(fleet, 'enrolment')
+    _wait_until_ready(fleet, key)
     fleet.signal('entry-1', signal.SIGSTOP)
     for name in ('entry-2', 'entry-3'):
         address = fleet.get_entry_address(name)
-        wait_for(partial(_get_served, address, key))
+        wait_for(partial(_book_or_raise, address, key))
     fleet.signal('entry-1', signal.SIGCONT)
-    wait_for(lambda: _get_served(fleet.get_entry_address('entry-1'), key))
-    assert _count_runs(upstream) == 1
+    wait_for(lambda: _book_or_raise(fleet.get_entry_address('entry-1'), key))
+    assert _count_requests(upstream) == 1
 
 
-def test_entry_that_has_not_heard_a_frozen_one_holds_no_keys(
+def test_restarted_entry_waits_for_paused_holder(
     fleet: Fleet,
 ) -> None:
-    """An entry starts anew while another one is frozen.
+    """An entry restarted while another one is paused cannot hold keys yet.
 
-    It may have held keys that only the frozen one still knows, so it serves
-    but has no vote: of three holders one is left, and a booking with a key
-    is refused. Whoever restarts entries in turn sees it on the health page.
+    Keys that it held before may now be known to the paused entry alone. One
+    holder of three remains: requests with an idempotency key are refused,
+    others are served.
     """
-    key = _declare(fleet)
-    _start(fleet, 'enrolment')
-    _wait_until_served(fleet, key)
+    key = _apply_and_grant_key(fleet)
+    _start_upstream(fleet, 'enrolment')
+    _wait_until_ready(fleet, key)
     fleet.kill('entry-3')
     fleet.signal('entry-1', signal.SIGSTOP)
     fleet.start('entry-3')
@@ -199,110 +197,109 @@
     assert _get_code(_book(address, key)) == 'idempotency.E004'
     fleet.signal('entry-1', signal.SIGCONT)
     wait_for(partial(_holds_keys, address))
-    wait_for(partial(_get_served, address, key))
+    wait_for(partial(_book_or_raise, address, key))
 
 
-def test_misbehaving_upstreams(fleet: Fleet) -> None:
-    """Upstreams break their answers in every way.
+def test_faulty_upstreams(fleet: Fleet) -> None:
+    """Faulty upstreams cause no mixed-up or truncated responses.
 
-    A caller gets the whole answer to its own request or is told what is
-    known, and the entry goes on.
+    Callers get the complete response to their own request, or an error.
     """
-    key = _declare(fleet)
+    key = _apply_and_grant_key(fleet)
     for pool in _POOLS:
-        _start(fleet, pool, f'--behaviour={pool}')
-    _wait_until_served(fleet, key)
+        _start_upstream(fleet, pool, f'--behaviour={pool}')
+    _wait_until_ready(fleet, key)
     address = fleet.get_entry_address('entry-1')
-    found = {
-        pool: wait_for(partial(_ask_known, address, pool, key))
+    responses = {
+        pool: wait_for(partial(_post_once_announced, address, pool, key))
         for pool in _POOLS[1:]
     }
-    broken = (502, 'routing.E002')
-    assert found == {
+    bad_gateway = (502, 'routing.E002')
+    assert responses == {
         'slow': (200, b'slow'),
         'silent': (504, 'routing.E001'),
         'failing': (500, b'failed'),
-        'reset': broken,
-        'truncated': broken,
+        'reset': bad_gateway,
+        'truncated': bad_gateway,
         'crossed': (200, b'whole'),
         'overlong': (200, b'whole'),
-        'lengths': broken,
+        'lengths': bad_gateway,
     }
-    assert _ask(address, 'crossed', key) == (200, b'whole')
+    assert _post(address, 'crossed', key) == (200, b'whole')
 
 
-def _ask_known(address: str, pool: str, key: str) -> Any:
-    # Until its upstream is announced, a pool refuses for lack of a slot.
-    found = _ask(address, pool, key)
-    return None if found[1] == 'admission.E008' else found
+def _post_once_announced(address: str, pool: str, key: str) -> Any:
+    # A pool has no slots until its upstream is announced.
+    response = _post(address, pool, key)
+    return None if response[1] == 'admission.E008' else response
 
 
-def _ask(address: str, pool: str, key: str) -> tuple[int, Any]:
+def _post(address: str, pool: str, key: str) -> tuple[int, Any]:
     response = call(address, f'/{pool}/x', key, method='POST', body=b'x')
     if 'Sardinemast-Outcome' in response.headers:
         return response.code, _get_code(response)
     return response.code, response.body
 
 
-def test_connection_that_goes_silent(fleet: Fleet) -> None:
-    """Something between forgets its open connections; new ones work.
+def test_silently_dropped_connection(fleet: Fleet) -> None:
+    """A firewall silently drops open connections; new ones work.
 
-    A request on such a connection is answered by nobody. One that may be
-    repeated is served on a fresh connection before its deadline. A booking
-    ends as unknown, and the next one is served: the upstream is not blamed.
+    A repeatable request is retried on a new connection before its deadline.
+    A booking ends with an unknown outcome, and the upstream stays in use.
     """
-    key = _declare(fleet)
+    key = _apply_and_grant_key(fleet)
     port = find_ports(1)[0]
     with run_relay(port) as relay:
         fleet.start_upstream(
             'enrolment-1', f'--port={port}', f'--announced_port={relay.port}'
         )
-        _wait_until_served(fleet, key)
+        _wait_until_ready(fleet, key)
         address = fleet.get_entry_address('entry-1')
         assert _is_served(address, key)
         relay.forget()
         assert _is_served(address, key)
         relay.forget()
-        assert _ask(address, 'enrolment', key) == (504, 'routing.E001')
-        assert _ask(address, 'enrolment', key)[0] == HTTPStatus.OK
+        assert _post(address, 'enrolment', key) == (504, 'routing.E001')
+        assert _post(address, 'enrolment', key)[0] == HTTPStatus.OK
 
 
-def test_idle_connection_that_went_silent(fleet: Fleet) -> None:
-    """A booking does not go out on a connection that was idle for long."""
-    key = _declare(fleet)
+def test_silently_dropped_idle_connection(fleet: Fleet) -> None:
+    """No request is sent on a connection that was idle for too long."""
+    key = _apply_and_grant_key(fleet)
     port = find_ports(1)[0]
     with run_relay(port) as relay:
         fleet.start_upstream(
             'enrolment-1', f'--port={port}', f'--announced_port={relay.port}'
         )
-        _wait_until_served(fleet, key)
+        _wait_until_ready(fleet, key)
         relay.forget()
         time.sleep(MAX_IDLE_S)
         address = fleet.get_entry_address('entry-1')
-        assert _ask(address, 'enrolment', key)[0] == HTTPStatus.OK
+        assert _post(address, 'enrolment', key)[0] == HTTPStatus.OK
 
 
-def test_planned_stop_cuts_no_request(fleet: Fleet) -> None:
-    """An entry is stopped under load, as in every maintenance wave.
+def test_graceful_shutdown_completes_requests(fleet: Fleet) -> None:
+    """An entry under load completes its requests on SIGTERM.
 
-    Each request gets a whole answer or is told that it was not run and to
-    go elsewhere, and the process ends by itself with code 0.
+    It refuses later ones as not run and exits with code 0.
     """
-    key = _declare(fleet)
-    _start(fleet, 'enrolment', '--delay_s=0.3')
-    _wait_until_served(fleet, key)
+    key = _apply_and_grant_key(fleet)
+    _start_upstream(fleet, 'enrolment', '--delay_s=0.3')
+    _wait_until_ready(fleet, key)
     address = fleet.get_entry_address('entry-1')
-    with ThreadPoolExecutor(_CALLERS) as threads:
+    with ThreadPoolExecutor(_CALLER_COUNT) as threads:
         callers = [
             threads.submit(_call_until_refused, address, key)
-            for _ in range(_CALLERS)
+            for _ in range(_CALLER_COUNT)
         ]
-        wait_for(lambda: sum(one.running() for one in callers) == _CALLERS)
+        wait_for(
+            lambda: sum(future.running() for future in callers) == _CALLER_COUNT
+        )
         wait_for(partial(_is_served, address, key))
         fleet.signal('entry-1', signal.SIGTERM)
         refusals = {caller.result() for caller in callers}
     assert refusals == {('shell.E002', 'not run')}
-    assert fleet.processes['entry-1'].wait(_PATIENCE_S) == 0
+    assert fleet.processes['entry-1'].wait(_EXIT_TIMEOUT_S) == 0
 
 
 def _call_until_refused(address: str, key: str) -> tuple[str, str]:
@@ -313,25 +310,27 @@
             return _get_code(response), outcome
 
 
-def test_bad_input_is_told_apart(fleet: Fleet) -> None:
-    """Each mistake gets its own code, and the entry goes on."""
-    key = _declare(fleet)
-    _start(fleet, 'enrolment')
-    _wait_until_served(fleet, key)
+def test_invalid_input_has_distinct_codes(fleet: Fleet) -> None:
+    """Each kind of invalid input gets its own code."""
+    key = _apply_and_grant_key(fleet)
+    _start_upstream(fleet, 'enrolment')
+    _wait_until_ready(fleet, key)
     address = fleet.get_entry_address('entry-1')
-    large = b'x' * (2 * 1024 * 1024)
-    found = {
-        'no key': _refuse(address, '/enrolment/x', ''),
-        'other key': _refuse(address, '/enrolment/x', 'wrong'),
-        'no service': _refuse(address, '/nothing/x', key),
-        'large': _refuse(address, '/enrolment/x', key, body=large),
-        'past': _refuse(address, '/enrolment/x', key, deadline='-1'),
-        'nan': _refuse(address, '/enrolment/x', key, deadline='nan'),
-        'empty idempotency key': _refuse(
+    oversized_body = b'x' * (2 * 1024 * 1024)
+    codes = {
+        'no key': _get_refusal_code(address, '/enrolment/x', ''),
+        'other key': _get_refusal_code(address, '/enrolment/x', 'wrong'),
+        'no service': _get_refusal_code(address, '/nothing/x', key),
+        'large': _get_refusal_code(
+            address, '/enrolment/x', key, body=oversized_body
+        ),
+        'past': _get_refusal_code(address, '/enrolment/x', key, deadline='-1'),
+        'nan': _get_refusal_code(address, '/enrolment/x', key, deadline='nan'),
+        'empty idempotency key': _get_refusal_code(
             address, '/enrolment/x', key, headers={'Idempotency-Key': ' '}
         ),
     }
-    assert found == {
+    assert codes == {
         'no key': 'admission.E001',
         'other key': 'admission.E002',
         'no service': 'admission.E003',
@@ -340,15 +339,15 @@
         'nan': 'admission.E009',
         'empty idempotency key': 'idempotency.E001',
     }
-    for announced in _BAD_ANNOUNCEMENTS:
+    for announcement in _INVALID_ANNOUNCEMENTS:
         response = call(
-            address, '/-/announce', method='POST', body=json.dumps(announced)
+            address, '/-/announce', method='POST', body=json.dumps(announcement)
         )
         assert _get_code(response) == 'membership.E001'
     assert _is_served(address, key)
 
 
-def _refuse(
+def _get_refusal_code(
     address: str,
     path: str,
     key: str,
--- a/tests/processes/test_in_force.py
+++ b/tests/processes/test_withdrawal_and_shutdown.py
@@ -1,4 +1,4 @@
-"""Withdrawal of a key while an entry is frozen, and a leaving upstream."""
+"""Key withdrawal at a paused entry, and shutdown of an upstream."""
 
 import json
 import signal
@@ -16,7 +16,7 @@
 """
 
 
-def _prepare(fleet: Fleet, folder: Path) -> str:
+def _apply_and_grant_key(fleet: Fleet, folder: Path) -> str:
     base = folder / 'base.yaml'
     base.write_text(_BASE)
     wait_for(partial(commands.apply, str(base), controls=fleet.controls))
@@ -30,14 +30,14 @@
     return call(address, '/-/health').code == 200
 
 
-def test_frozen_entry_takes_no_withdrawn_key(tmp_path: Path) -> None:
-    """Refuse a withdrawn key at an entry that slept through the withdrawal.
+def test_paused_entry_refuses_withdrawn_key(tmp_path: Path) -> None:
+    """An entry paused during a withdrawal refuses the key when it resumes.
 
-    The operator is told that the key is withdrawn in all entries. The frozen
-    one wakes, and would take the key if it served by what it had before.
+    It must not serve from its outdated list of keys: the operator was told
+    that the withdrawal is in force in all entries.
     """
     with run_fleet(tmp_path, entry_count=2) as fleet:
-        key = _prepare(fleet, tmp_path)
+        key = _apply_and_grant_key(fleet, tmp_path)
         fleet.signal('entry-1', signal.SIGSTOP)
         answer = commands.withdraw_key('k1', controls=fleet.controls)
         fleet.signal('entry-1', signal.SIGCONT)
@@ -47,10 +47,13 @@
     assert code in {'admission.E002', 'admission.E006'}
 
 
-def test_leaving_upstream_finishes_what_runs(tmp_path: Path) -> None:
-    """Give the whole answer of an upstream that is told to stop meanwhile."""
+def test_upstream_shuts_down_gracefully(tmp_path: Path) -> None:
+    """An upstream exits with code 0 on SIGTERM.
+
+    Requests that fail during the shutdown are reported as not run.
+    """
     with run_fleet(tmp_path, entry_count=1) as fleet:
-        key = _prepare(fleet, tmp_path)
+        key = _apply_and_grant_key(fleet, tmp_path)
         address = fleet.get_entry_address('entry-1')
         fleet.start_upstream('enrol-1')
         wait_for(partial(_is_served, address, key))
