--- a/tests/processes/test_platform.py
+++ b/tests/processes/test_platform.py
@@ -73,9 +73,7 @@
         assert 'sardinemast_workers{of="booking"} 1.0' in metrics
 
 
-def test_tasks_start_with_policy_tickets(
-    tmp_path: Path,
-) -> None:
+def test_tasks_start_with_policy_tickets(tmp_path: Path) -> None:
     """Tasks of a queue with a policy start with a ticket for their step.
 
     Workers refuse starts without the ticket, so a job for which none is
--- a/tests/processes/test_replicas.py
+++ b/tests/processes/test_replicas.py
@@ -70,7 +70,7 @@
 
 
 def _wait_for_replacement(fleet: Fleet, name: str, old_identity: str) -> None:
-    """Wait until the replica of the name votes under a new identity."""
+    """Wait until a voter with a new identity replaces the old replica."""
 
     def is_replaced() -> bool:
         replicas = queries.replicas(fleet.controls)['replicas']
--- a/tests/processes/test_requests.py
+++ b/tests/processes/test_requests.py
@@ -176,9 +176,7 @@
     assert _count_requests(upstream) == 1
 
 
-def test_restarted_entry_waits_for_paused_holder(
-    fleet: Fleet,
-) -> None:
+def test_restarted_entry_waits_for_paused_holder(fleet: Fleet) -> None:
     """An entry restarted while another one is paused cannot hold keys yet.
 
     Keys that it held before may now be known to the paused entry alone. One
@@ -244,8 +242,9 @@
 def test_silently_dropped_connection(fleet: Fleet) -> None:
     """A firewall silently drops open connections; new ones work.
 
-    A repeatable request is retried on a new connection before its deadline.
-    A booking ends with an unknown outcome, and the upstream stays in use.
+    A request that is safe to repeat is retried on a new connection before its
+    deadline. A booking ends with an unknown outcome, and the upstream stays
+    in use.
     """
     key = _apply_and_grant_key(fleet)
     port = find_ports(1)[0]
