--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Faults from outside on real processes, and the promises checked meanwhile."""
+"""Randomized fault injection on real processes, with guarantees checked."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run seeds of the soak: ``python -m soak --seeds=50``, from ``tests``."""
+"""Run the fault soak from ``tests``: ``python -m soak --fresh=50``."""
 
 import asyncio
 import sys
@@ -24,16 +24,16 @@
     entries: int = 3,
     keep: str = '',
 ) -> None:
-    """Run given seeds, and some new ones; the logs of those that fail stay.
+    """Run the soak with given, known and fresh seeds, and print verdicts.
 
     Args:
-        seeds: Seeds to run again.
-        fresh: How many new seeds to run.
-        known: Run the seeds that ever failed, too.
-        length_s: How long faults go on.
-        controls: How many control processes there are.
-        entries: How many entries there are.
-        keep: A folder for logs; without it, one for temporary files.
+        seeds: Seeds to run.
+        fresh: Number of random seeds to run in addition.
+        known: Whether to run the seeds that failed in the past, too.
+        length_s: Time during which faults begin, in seconds.
+        controls: Number of control processes.
+        entries: Number of entries.
+        keep: Folder for logs and data; by default a new temporary one.
 
     """
     drawn = [SystemRandom().randrange(_SEEDS_END) for _ in range(fresh)]
--- a/tests/soak/calls.py
+++ b/tests/soak/calls.py
@@ -1,4 +1,4 @@
-"""Calls to the system, as callers, workers and operators make them."""
+"""Send HTTP requests as callers, workers and operators do."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 
 class Answer(NamedTuple):
-    """Hold the code of an answer, 0 without one, and its body."""
+    """Store a response's status code, or 0 for none, its body and send time."""
 
     code: int
     body: Any
@@ -21,7 +21,7 @@
 
 
 class Caller:
-    """Hold a connection for each address, and use it until it breaks."""
+    """Send requests, and keep one open connection per address."""
 
     def __init__(self) -> None:
         self._open: dict[Address, HTTPConnection] = {}
@@ -34,7 +34,7 @@
         body: Any = None,
         key: str = '',
     ) -> Answer:
-        """Send one request, and wait a second and a half for its answer."""
+        """Send one request, and return its response or ``NO_ANSWER``."""
         return await asyncio.to_thread(
             self._call, address, method, path, body, key
         )
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside, drawn from a seed: they come in series and overlap."""
+"""Draw overlapping faults from a seed, and inject them into a site."""
 
 import asyncio
 import shutil
@@ -16,7 +16,7 @@
 
 _GAP_S = (0.1, 2.0)
 _LASTS_S = (0.3, 4.0)
-# A copy that was lost must have caught up before the next may be lost.
+# A replica that lost its disk must catch up before the next one loses its own.
 _DISK_PAUSE_S = 9.0
 _FULL_BYTES = 1
 _POLL_S = 0.01
@@ -25,7 +25,7 @@
 
 
 class Fault(NamedTuple):
-    """Hold one fault: what happens to whom, from when and for how long."""
+    """Describe a fault: its kind, start, duration and target number."""
 
     kind: str
     at_s: float
@@ -34,7 +34,7 @@
 
 
 def draw_faults(random: Random, length_s: float) -> tuple[Fault, ...]:
-    """Give the faults of a run, the first one first."""
+    """Return the faults of a run, ordered by start."""
     faults = []
     at_s = random.uniform(*_GAP_S)
     while at_s < length_s:
@@ -51,44 +51,44 @@
 
 
 class Injector:
-    """Carry out faults on a site, each in a task of its own."""
+    """Inject faults into a site, each in its own asyncio task."""
 
     def __init__(self, site: Site, ledger: Ledger, say: Callable[..., None]):
         self.site = site
         self._ledger = ledger
         self._say = say
         self._disk_free_s = float('-inf')
-        # One fault at a time ends and starts a process; others wait for it.
+        # Faults that signal or restart the same process run one at a time.
         self._locks = {name: asyncio.Lock() for name in site.names}
 
     async def run(self, faults: tuple[Fault, ...]) -> None:
-        """Carry out all, and come back when the last is over."""
+        """Inject all faults, and return when the last one has ended."""
         async with asyncio.TaskGroup() as tasks:
             for fault in faults:
                 tasks.create_task(self._run_one(fault))
 
     def pick(self, fault: Fault, names: tuple[str, ...]) -> str:
-        """Give the process that a fault is meant for."""
+        """Return the process that a fault's target number selects."""
         return names[fault.target % len(names)]
 
     async def kill(self, fault: Fault) -> None:
-        """Kill a process; it starts again after a while."""
+        """Send SIGKILL to a process, and restart it after the duration."""
         name = self.pick(fault, self.site.names)
         await self._end(name, signal.SIGKILL, fault.lasts_s)
 
     async def stop(self, fault: Fault) -> None:
-        """Tell a process to stop; it starts again after a while."""
+        """Send SIGTERM to a process, and restart it after the duration."""
         name = self.pick(fault, self.site.names)
         await self._end(name, signal.SIGTERM, fault.lasts_s)
 
     async def kill_controls(self, fault: Fault) -> None:
-        """Kill all control processes at once."""
+        """Kill all control processes at once, and restart them."""
         async with asyncio.TaskGroup() as tasks:
             for name in self.site.controls:
                 tasks.create_task(self._end(name, signal.SIGKILL, 0.5))
 
     async def freeze(self, fault: Fault) -> None:
-        """Pause a process, and let it go on."""
+        """Suspend a process with SIGSTOP, and resume it after the duration."""
         name = self.pick(fault, self.site.names)
         async with self._locks[name]:
             self.site.processes.send_signal(name, signal.SIGSTOP)
@@ -96,11 +96,10 @@
             self.site.processes.send_signal(name, signal.SIGCONT)
 
     async def reload(self, fault: Fault) -> None:
-        """Tell a process that its settings have changed, several times."""
+        """Send SIGHUP to a process three times, so that it reloads settings."""
         name = self.pick(fault, self.site.names)
         async with self._locks[name]:
-            # For its first 20 ms an interpreter can take no signal; whoever
-            # starts processes has to start such a one again.
+            # Until the process has installed its handler, SIGHUP would end it.
             while not self.site.processes.handles_signal(name, signal.SIGHUP):
                 await asyncio.sleep(_POLL_S)
             for _ in range(3):
@@ -108,7 +107,7 @@
                 await asyncio.sleep(0.1)
 
     async def lose_disk(self, fault: Fault) -> None:
-        """Kill a control process and empty its folder."""
+        """Kill a control process and delete its data folder."""
         now_s = time.monotonic()
         if now_s < self._disk_free_s:
             return
@@ -122,7 +121,7 @@
         )
 
     async def tear_log(self, fault: Fault) -> None:
-        """Kill a control process whose last write was cut in the middle."""
+        """Kill a control process, and append a partial record to its log."""
         name = self.pick(fault, self.site.controls)
 
         def tear() -> None:
@@ -134,7 +133,7 @@
         await self._end(name, signal.SIGKILL, fault.lasts_s, tear)
 
     async def fill_disk(self, fault: Fault) -> None:
-        """Have a control process's writes refused for a while."""
+        """Make a control process's file writes fail for the duration."""
         name = self.pick(fault, self.site.controls)
         async with self._locks[name]:
             self.site.processes.limit_files(name, _FULL_BYTES)
@@ -143,7 +142,7 @@
                 self.site.processes.limit_files(name, _NO_LIMIT)
 
     async def delay(self, fault: Fault) -> None:
-        """Delay all that is sent to a process."""
+        """Delay all bytes on connections to a control process."""
         name = self.pick(fault, self.site.controls)
         harms = [
             self.site.proxies.get_harm(Pair(other, name))
@@ -156,13 +155,13 @@
             harm.delay_s = 0
 
     async def cut(self, fault: Fault) -> None:
-        """Cut a control process off from all other processes."""
+        """Hold back all bytes between a control process and the others."""
         name = self.pick(fault, self.site.controls)
         harms = self._list_harms(name)
         await self._hold(fault, harms, forward=1, back=1)
 
     async def cut_one_way(self, fault: Fault) -> None:
-        """Let nothing of what others send reach a control process."""
+        """Hold back all bytes that others send to a control process."""
         name = self.pick(fault, self.site.controls)
         dialled = [
             harm for pair, harm in self._pair_up(name) if pair[1] == name
@@ -175,7 +174,7 @@
             tasks.create_task(self._hold(fault, dialling, back=1))
 
     async def cut_pair(self, fault: Fault) -> None:
-        """Cut two control processes off from each other only."""
+        """Hold back all bytes between two control processes only."""
         names = self.site.controls
         first = self.pick(fault, names)
         second = names[(names.index(first) + 1) % len(names)]
@@ -184,42 +183,42 @@
         await self._hold(fault, harms, forward=1, back=1)
 
     async def reset(self, fault: Fault) -> None:
-        """Reset all connections of a process."""
+        """Reset all proxied connections of a process."""
         self.site.proxies.reset(self.pick(fault, self.site.names))
 
     async def forget(self, fault: Fault) -> None:
-        """Let the open connections of a process go silent for good."""
+        """Drop all further bytes on the open connections of a process."""
         self.site.proxies.forget(self.pick(fault, self.site.names))
 
     async def silence_worker(self, fault: Fault) -> None:
-        """Let a worker answer nobody, and run on."""
+        """Make a worker unresponsive while its tasks keep running."""
         worker = self.site.pick_worker(fault.target)
         worker.is_silent = True
         await asyncio.sleep(2 * fault.lasts_s)
         worker.is_silent = False
 
     async def make_worker_late(self, fault: Fault) -> None:
-        """Let a worker carry orders out late, without an answer."""
+        """Make a worker apply some orders late, and then answer 503."""
         worker = self.site.pick_worker(fault.target)
         worker.late_share = 0.3
         await asyncio.sleep(2 * fault.lasts_s)
         worker.late_share = 0
 
     async def slow_worker(self, fault: Fault) -> None:
-        """Let a worker's tasks crawl."""
+        """Slow down the tasks of a worker."""
         worker = self.site.pick_worker(fault.target)
         worker.slowness = 6
         await asyncio.sleep(2 * fault.lasts_s)
         worker.slowness = 1
 
     async def crash_worker(self, fault: Fault) -> None:
-        """Let a worker crash, and another life begin at its address."""
+        """Crash a worker, and start a new one at its address."""
         worker = self.site.pick_worker(fault.target)
         if worker.life is not None:
             worker.begin(worker.life.pool)
 
     async def drain_worker(self, fault: Fault) -> None:
-        """Let a worker drain, end, and begin anew."""
+        """Drain a worker, and then replace it by a new one."""
         worker = self.site.pick_worker(fault.target)
         life = worker.life
         if life is None:
--- a/tests/soak/instances.py
+++ b/tests/soak/instances.py
@@ -1,4 +1,4 @@
-"""Whoever runs the instances: lists, moves and maintains them."""
+"""Simulate the server that lists, moves and maintains instances."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 
 class Instances:
-    """Carry out orders for instances, whatever their tokens say."""
+    """Carry out instance orders without checking their fencing tokens."""
 
     def __init__(
         self,
@@ -40,13 +40,13 @@
         self._server.listen(address)
 
     async def stop(self) -> None:
-        """Take no more orders."""
+        """Stop the server, and cancel unfinished orders."""
         for task in self._tasks:
             task.cancel()
         await self._server.stop()
 
     def put(self, instance: str, pool: str) -> None:
-        """Have an instance in a pool, with a worker unless that stands by."""
+        """Assign an instance to a pool; standby instances run no worker."""
         self.pools[instance] = pool
         if pool == STANDBY:
             self._workers[instance].end()
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,7 +1,8 @@
-"""What callers, workers and whoever runs the instances have seen.
+"""Check the guarantees of the system against what its clients observe.
 
-Nothing of what the system says of itself counts here. Each broken promise
-gives a line that begins with the name of its rule.
+Callers, workers and the instance server report observations; logs and metrics
+of the system are not used. Each violation adds a line to ``broken`` that
+begins with the name of its rule.
 """
 
 from collections import defaultdict
@@ -14,10 +15,10 @@
 
 
 class Bounds(NamedTuple):
-    """Hold the users' bounds, in seconds.
+    """Store the time limits within which each guarantee must take effect.
 
-    ``touch_s`` is how long nothing must have been disturbed before a rule
-    with a time counts, ``thaw_s`` how much a process that wakes may be late.
+    ``touch_s`` is the recovery time after the last fault, which is added to
+    the limits for cancellations and drains.
     """
 
     touch_s: float = 3.0
@@ -29,7 +30,7 @@
 
 
 class Step(NamedTuple):
-    """Hold how many tasks a step has, what each takes, and what it needs."""
+    """Describe a step: its task count, CPU per task and required steps."""
 
     task_count: int
     millicores: int
@@ -37,7 +38,7 @@
 
 
 class Task(NamedTuple):
-    """Name a task by its job and its place there."""
+    """Identify a task by its job, its step and its position in the step."""
 
     job: str
     step: int
@@ -45,13 +46,13 @@
 
 
 def read_task(name: str) -> Task:
-    """Read the dotted name of a task of a job that runs once."""
+    """Parse a dotted task name, and drop the occurrence of its job."""
     job, _, step, position = name.split('.')
     return Task(job, int(step), int(position))
 
 
 class _Job:
-    """Hold one job, what its callers were told, and its tasks."""
+    """Store a job, the answers its caller received, and its finished tasks."""
 
     def __init__(self, team: str, steps: tuple[Step, ...]) -> None:
         self.team = team
@@ -63,7 +64,7 @@
 
     @property
     def is_done(self) -> bool:
-        """Tell whether each task has ended well."""
+        """Check whether all tasks have succeeded."""
         return len(self.done) == sum(step.task_count for step in self.steps)
 
 
@@ -74,7 +75,7 @@
 
 
 class Ledger:
-    """Take what is seen, and find the promises that it breaks."""
+    """Record observations, and list the rules that they violate."""
 
     def __init__(self, bounds: Bounds, caps: dict[str, int]) -> None:
         self.broken: list[str] = []
@@ -93,7 +94,7 @@
         self._calm_since_s = float('-inf')
 
     def note_fault(self, now_s: float, *, is_begun: bool) -> None:
-        """Note that a fault begins or ends."""
+        """Record that a fault begins or ends."""
         self._faults += 1 if is_begun else -1
         self._calm_since_s = now_s
 
@@ -103,11 +104,11 @@
         team: str,
         steps: tuple[Step, ...],
     ) -> None:
-        """Note that a caller is about to send a job."""
+        """Record that a caller is about to submit a job."""
         self.jobs.setdefault(name, _Job(team, steps))
 
     def note_answer(self, name: str, code: int) -> None:
-        """Note the answer to a submit, 0 where there was none."""
+        """Record the status code of a submission; 0 means no response."""
         job = self.jobs[name]
         if code in _ACCEPTED:
             job.is_accepted = True
@@ -115,76 +116,84 @@
             job.is_doubtful = True
 
     def note_cancelled(self, name: str, now_s: float) -> None:
-        """Note that a cancellation was confirmed."""
+        """Record that a cancellation was confirmed."""
         job = self.jobs[name]
         if job.cancelled_s is None:
             job.cancelled_s = now_s
 
     def note_state(self, name: str, code: int, state: str) -> None:
-        """Note what a caller was told of an accepted job."""
+        """Check the state that a caller read for an accepted job."""
         job = self.jobs[name]
         is_cancelled = job.cancelled_s is not None
         if code == _GONE:
-            self._break('LOST', f'{name} is not known any more')
+            self._break('LOST', f'{name} was accepted and is now unknown')
         elif state == 'done' and not job.is_done:
-            self._break('MIXED', f'{name} is said to be done, and is not')
+            self._break(
+                'MIXED', f'{name} is reported done with unfinished tasks'
+            )
         elif state == 'failed' or state == 'cancelled' and not is_cancelled:
-            self._break('LOST', f'{name} is said to be {state}')
+            self._break('LOST', f'{name} is reported {state}')
 
     def note_start(self, worker: str, task: Task, now_s: float) -> None:
-        """Note that a task starts at a worker."""
+        """Check and record that a task starts on a worker."""
         job = self.jobs.get(task.job)
         if job is None:
             self._break('UNASKED', f'{task} was never submitted')
             return
         if self._running[task]:
-            self._break('TWICE', f'{task} runs at {self._running[task]} too')
+            self._break(
+                'TWICE', f'{task} already runs on {self._running[task]}'
+            )
         if task in self._recorded:
-            self._break('TWICE', f'{task} starts after its end was recorded')
+            self._break(
+                'TWICE', f'{task} starts after its success was recorded'
+            )
         self._check_needs(job, task)
         self._check_cap(job, task)
         bounds = self._bounds
         if self._is_late(job.cancelled_s, bounds.cancel_s, now_s):
             self._break('UNASKED', f'{task} starts after its cancellation')
         if self._is_late(self._draining.get(worker), bounds.drain_s, now_s):
-            self._break('DRAIN', f'{task} starts at {worker}, which drains')
+            self._break('DRAIN', f'{task} starts on draining worker {worker}')
         self._running[task].add(worker)
 
     def note_end(self, worker: str, task: Task, *, is_done: bool) -> None:
-        """Note that a run has ended at a worker."""
+        """Record that a task no longer runs on a worker."""
         self._running[task].discard(worker)
         if is_done and task.job in self.jobs:
             self.jobs[task.job].done.add(task)
 
     def note_recorded(self, task: Task) -> None:
-        """Note that a good end was acknowledged to its worker."""
+        """Record that the system acknowledged the success of a task."""
         self._recorded.add(task)
 
     def note_draining(self, worker: str, now_s: float) -> None:
-        """Note that a worker's drain was confirmed."""
+        """Record that the system confirmed that a worker drains."""
         self._draining.setdefault(worker, now_s)
 
     def note_version(self, version: int, now_s: float) -> None:
-        """Note that a configuration was confirmed."""
+        """Record that a configuration version was confirmed."""
         self.acknowledged_version = max(self.acknowledged_version, version)
         self._versions.append((now_s, version))
 
     def note_read(self, version: int, sent_s: float) -> None:
-        """Note the version that a read, sent at a time, was answered with."""
+        """Check that a read sent at ``sent_s`` returned no outdated version."""
         due_s = sent_s - self._bounds.in_force_s
         known = [one for at_s, one in self._versions if at_s <= due_s]
         if version < max(known, default=0):
-            self._break('CONFIG', f'{version} is read after {max(known)}')
+            self._break(
+                'CONFIG', f'version {version} is read after {max(known)}'
+            )
 
     def note_revoked(self, key: str, now_s: float) -> None:
-        """Note that a configuration without the key was confirmed."""
+        """Record that a configuration without the key was confirmed."""
         self._revoked.setdefault(key, now_s)
 
     def note_key_used(self, key: str, code: int, sent_s: float) -> None:
-        """Note the answer to a submit with a key."""
+        """Check that a revoked key is no longer accepted for a submission."""
         revoked_s = self._revoked.get(key, float('inf'))
         if code in _ACCEPTED and sent_s > revoked_s + self._bounds.revoke_s:
-            self._break('CONFIG', f'{key} works after it was taken away')
+            self._break('CONFIG', f'{key} is accepted after it was revoked')
 
     def note_order(
         self,
@@ -193,38 +202,44 @@
         token: int,
         now_s: float,
     ) -> None:
-        """Note an order for an instance, and under which token it came."""
+        """Check the lease holder and the fencing token of an instance order."""
         for order in self._orders[instance]:
             if order.holder != holder and order.token == token:
-                self._break('ONE', f'{instance}: two holders of {token}')
+                self._break(
+                    'ONE', f'{instance}: two lease holders with token {token}'
+                )
             if order.token > token:
-                self._break('ONE', f'{instance}: {token} after {order.token}')
+                self._break(
+                    'ONE', f'{instance}: token {token} after {order.token}'
+                )
             is_near = now_s < order.at_s + self._bounds.holder_s
             if order.holder != holder and is_near:
-                self._break('ONE', f'{instance}: two holders in turn')
+                self._break('ONE', f'{instance}: lease holder changed too soon')
         self._orders[instance].append(_Order(holder, token, now_s))
 
     def note_down(self, wave: int, instance: str, cap: int) -> None:
-        """Note that an instance goes down for its maintenance."""
+        """Check the limit of a wave when an instance goes down."""
         self._down[wave].add(instance)
         if len(self._down[wave]) > cap:
-            self._break('LIMIT', f'{self._down[wave]} are down in {wave}')
+            self._break('LIMIT', f'{self._down[wave]} are down in wave {wave}')
 
     def note_up(self, wave: int, instance: str) -> None:
-        """Note that an instance is back."""
+        """Record that an instance is up again after its maintenance."""
         self._down[wave].discard(instance)
 
     def note_wave_done(self, wave: int, missing: set[str]) -> None:
-        """Note that a wave is said to be done, without some instances."""
+        """Check that a wave reported as done has missed no instance."""
         if missing:
-            self._break('MIXED', f'{wave} is done without {missing}')
+            self._break(
+                'MIXED', f'wave {wave} is reported done without {missing}'
+            )
 
     def note_ended(self, process: str, code: int) -> None:
-        """Note that a process has ended that nobody told to."""
-        self._break('ENDED', f'{process} ended by itself with {code}')
+        """Record that a process exited without being told to."""
+        self._break('ENDED', f'{process} exited unexpectedly with code {code}')
 
     def list_unfinished(self) -> list[str]:
-        """Give the accepted jobs that have work left."""
+        """Return the accepted, not cancelled jobs with unfinished tasks."""
         return [
             name
             for name, job in self.jobs.items()
@@ -232,18 +247,20 @@
         ]
 
     def finish(self, version: int) -> None:
-        """Check what must hold once all is calm and has had its time."""
+        """Check the rules that hold once faults and traffic have ended."""
         for name in self.list_unfinished():
-            self._break('LOST', f'{name} has work left')
+            self._break('LOST', f'{name} has unfinished tasks')
         for name, job in self.jobs.items():
             is_refused = not (job.is_accepted or job.is_doubtful)
             if is_refused and self._has_begun(name):
-                self._break('REFUSED', f'{name} was refused, and runs')
+                self._break('REFUSED', f'{name} was refused and ran')
         for task, workers in self._running.items():
             if workers and self.jobs[task.job].cancelled_s is not None:
                 self._break('UNASKED', f'{task} runs on after its cancellation')
         if version < self.acknowledged_version:
-            self._break('CONFIG', f'{version} is left of a later one')
+            self._break(
+                'CONFIG', f'version {version} is older than the confirmed one'
+            )
 
     def _has_begun(self, name: str) -> bool:
         return any(task.job == name for task in self._running)
@@ -252,7 +269,9 @@
         for needed in job.steps[task.step].needs:
             ended = sum(one.step == needed for one in job.done)
             if ended < job.steps[needed].task_count:
-                self._break('ORDER', f'{task} starts before {needed} is done')
+                self._break(
+                    'ORDER', f'{task} starts before step {needed} is done'
+                )
 
     def _check_cap(self, job: _Job, task: Task) -> None:
         cap = self._caps.get(job.team, 0)
@@ -262,7 +281,9 @@
             if workers and self.jobs[one.job].team == job.team
         )
         if cap and used > cap * _CAP_SLACK:
-            self._break('QUOTA', f'{job.team} runs {used} before {task}')
+            self._break(
+                'QUOTA', f'{job.team} uses {used} millicores before {task}'
+            )
 
     def _is_late(
         self,
--- a/tests/soak/proxies.py
+++ b/tests/soak/proxies.py
@@ -1,8 +1,7 @@
-"""Proxies on loopback that harm the connections between processes.
+"""Loopback proxies that delay, hold, reset or drop bytes between processes.
 
-Each process that others dial listens at an address of its own behind one, and
-dials from there, so that a fault may be between two processes only, and in one
-direction.
+Each process binds its own address, which identifies it as a sender. A fault
+can therefore affect two processes only, and one direction only.
 """
 
 import asyncio
@@ -18,17 +17,16 @@
 
 
 class Pair(NamedTuple):
-    """Name who dials whom; an empty name is anybody of the stand-ins."""
+    """Identify who dials whom; an unknown sender has an empty name."""
 
     sender: str
     receiver: str
 
 
 class Harm:
-    """Hold what happens to the bytes between two processes.
+    """Store the faults on connections between two processes.
 
-    Bytes are held while anything holds them, and delivered after that, as
-    after a cut that the network gets over.
+    Held bytes are delivered after the last hold, as TCP does after a partition.
     """
 
     def __init__(self) -> None:
@@ -37,13 +35,13 @@
         self.back_holds = 0
 
     def hold(self, *, forward: int = 0, back: int = 0) -> None:
-        """Begin to hold a direction with 1, and end it with -1."""
+        """Add 1 to the holds of a direction to begin one, or -1 to end it."""
         self.forward_holds += forward
         self.back_holds += back
 
 
 class _Connection:
-    """Hold the two ends of one relayed connection."""
+    """Store the two ends of a relayed connection."""
 
     def __init__(self, pair: Pair, writers: list[asyncio.StreamWriter]) -> None:
         self.pair = pair
@@ -51,7 +49,7 @@
         self.is_forgotten = False
 
     def reset(self) -> None:
-        """Break both ends off at once."""
+        """Reset both ends."""
         for writer in self.writers:
             own = writer.get_extra_info('socket')
             if own is not None:
@@ -63,7 +61,7 @@
 
 
 class Proxies:
-    """Relay connections, and harm those that a fault names."""
+    """Relay connections, and apply faults to them."""
 
     def __init__(self, names: Mapping[str, str]) -> None:
         self._names = names
@@ -78,7 +76,7 @@
         outside: tuple[str, int],
         inside: tuple[str, int],
     ) -> None:
-        """Take connections to a process at the address that others dial."""
+        """Accept connections at an outside address, and relay them inside."""
 
         async def accept(
             reader: asyncio.StreamReader,
@@ -91,11 +89,11 @@
         self._servers.append(await asyncio.start_server(accept, *outside))
 
     def get_harm(self, pair: Pair) -> Harm:
-        """Give what happens between two processes, to be changed."""
+        """Return the mutable fault state between two processes."""
         return self._harms.setdefault(pair, Harm())
 
     async def apply(self) -> None:
-        """Let changed harms work."""
+        """Wake the relays, so that they deliver what is no longer held."""
         async with self._changed:
             self._changed.notify_all()
 
@@ -106,13 +104,13 @@
                 connection.reset()
 
     def forget(self, name: str) -> None:
-        """Let all open connections of a process go silent for good."""
+        """Drop all further bytes on the open connections of a process."""
         for connection in self._open:
             if name in connection.pair:
                 connection.is_forgotten = True
 
     async def close(self) -> None:
-        """Take no more connections, and break the open ones off."""
+        """Stop listening, and reset the open connections."""
         for server in self._servers:
             server.close()
         for harm in self._harms.values():
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: processes, traffic and faults from a seed, and a verdict."""
+"""Run processes, traffic and faults from one seed, and return a verdict."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 
 
 class Verdict(NamedTuple):
-    """Hold what a run has shown."""
+    """Store the result of a run; ``broken`` lists the violated rules."""
 
     seed: int
     broken: tuple[str, ...]
@@ -40,9 +40,9 @@
     folder: Path,
     sizes: Sizes,
 ) -> Verdict:
-    """Run the processes through the faults of a seed."""
-    # Each caller, worker and operator may block a thread for its time-out.
-    # Connections that wait for a thread meanwhile would seem to be cut.
+    """Run a site under the faults that a seed yields, and check the rules."""
+    # Each caller, worker and operator may block a thread until its timeout.
+    # With too few threads, requests would queue and look like network faults.
     asyncio.get_running_loop().set_default_executor(
         ThreadPoolExecutor(_THREADS)
     )
--- a/tests/soak/seeds.py
+++ b/tests/soak/seeds.py
@@ -1,10 +1,10 @@
-"""Seeds that have failed once, each with its cause."""
+"""List seeds that failed in the past, each with its cause."""
 
 from types import MappingProxyType
 
 FAILED = MappingProxyType(
     {
-        # As it was drawn: 15 s, five control processes, three entries.
-        401620025: 'A reload signalled while a process was loading ended it.',
+        # Failed with length_s=15, controls=5 and entries=3.
+        401620025: 'SIGHUP during the start of a process ended the process.',
     },
 )
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -1,4 +1,4 @@
-"""The processes of one run, the proxies before them and what they meet."""
+"""Set up the processes of a run, their proxies and the simulated workers."""
 
 import asyncio
 import signal
@@ -15,7 +15,8 @@
 from soak.proxies import Proxies
 from soak.workers import Worker
 
-# Others dial the first kind of address, and the processes listen at the second.
+# Control processes are dialled at the first address, where a proxy listens,
+# and listen at the second.
 _OUTSIDE = '127.0.1.{}'
 _INSIDE = '127.0.2.{}'
 _ENTRY = '127.0.3.{}'
@@ -25,7 +26,7 @@
 
 
 class Sizes(NamedTuple):
-    """Hold how many processes and stand-ins a run has."""
+    """Store the numbers of processes, workers and callers of a run."""
 
     controls: int = 5
     entries: int = 3
@@ -35,12 +36,12 @@
 
     @property
     def failures_tolerated(self) -> int:
-        """Give how many control processes may be lost at once."""
+        """Return how many control processes may fail at the same time."""
         return (self.controls - 1) // 2
 
 
 class Ports(NamedTuple):
-    """Hold the ports, the same at each address."""
+    """Store the port numbers, which are the same at all addresses."""
 
     cluster: int
     operators: int
@@ -49,7 +50,7 @@
 
 
 class Site:
-    """Hold the processes and all that they speak with."""
+    """Start and stop the processes, proxies, workers and instances of a run."""
 
     def __init__(self, folder: Path, sizes: Sizes, ledger: Ledger, seed: int):
         self.controls = tuple(
@@ -76,11 +77,11 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Give the names of all processes."""
+        """Return the names of all processes."""
         return (*self.controls, *self.entries)
 
     def get_addresses(self) -> tuple[tuple[Address, ...], tuple[Address, ...]]:
-        """Give where callers, and where workers and operators call."""
+        """Return the addresses of the entries and of the control processes."""
         ports = self._ports
         return (
             tuple(Address(name, ports.callers) for name in self.entries),
@@ -88,7 +89,7 @@
         )
 
     async def begin(self) -> None:
-        """Start all."""
+        """Start the proxies, the workers and all processes."""
         for name in self.controls:
             inside = self._get_inside(name)
             for port in (self._ports.cluster, self._ports.operators):
@@ -100,7 +101,7 @@
             self.start(process)
 
     async def end(self) -> None:
-        """Stop all that was started here."""
+        """Stop all processes, proxies, workers and the instance server."""
         for name in self.processes.ids:
             self.processes.send_signal(name, signal.SIGCONT)
         self.processes.kill_all()
@@ -110,12 +111,12 @@
         await self.instances.stop()
 
     def start(self, name: str) -> None:
-        """Start a process, with the leave to found a cluster only once."""
+        """Start a process; only its first start may found a cluster."""
         self.processes.start(name, self._make_settings(name))
         self._started.add(name)
 
     async def watch(self) -> None:
-        """Start processes again that end by themselves, which none should."""
+        """Record each process that exits unexpectedly, and restart it."""
         while True:
             await asyncio.sleep(_WATCH_S)
             for name, code in self.processes.list_ended().items():
@@ -123,15 +124,15 @@
                 self.start(name)
 
     def pick_worker(self, target: int) -> Worker:
-        """Give the worker that a fault is meant for."""
+        """Return the worker that a fault's target number selects."""
         return tuple(self.workers.values())[target % len(self.workers)]
 
     def get_folder(self, name: str) -> Path:
-        """Give the data folder of a process."""
+        """Return the data folder of a process."""
         return self._folder / f'data-{name}'
 
     def get_log(self, name: str) -> Path:
-        """Give the file that a control process adds its records to."""
+        """Return the path of a control process's write-ahead log."""
         return self.get_folder(name) / 'replica' / 'log.wal'
 
     def _make_workers(
@@ -183,12 +184,13 @@
         }
 
     def _get_inside(self, name: str) -> str:
-        # Nobody dials an entry but callers, who use its own address.
+        # Entries have no proxy: only callers dial them, and do so directly.
         if name in self.entries:
             return name
         return _INSIDE.format(self.controls.index(name) + 1)
 
 
 def _find_ports() -> Ports:
-    # Behind the cluster's port operators' own interface needs the next one.
+    # Peers use the first port of the pair, the built-in operator address the
+    # second.
     return Ports(find_port_pair(), *find_ports(3))
--- a/tests/soak/test_ledger.py
+++ b/tests/soak/test_ledger.py
@@ -1,4 +1,4 @@
-"""Each promise, broken in a history by hand, is found by the soak."""
+"""Check that the ledger reports each violation of a guarantee."""
 
 import pytest
 
@@ -26,8 +26,8 @@
         ledger.note_end('w-0', task, is_done=True)
 
 
-def test_sound_history_breaks_nothing() -> None:
-    """A job is accepted, runs through, and is shown as done."""
+def test_valid_history_has_no_violation() -> None:
+    """A false alarm for a job that is accepted, runs and is shown as done."""
     ledger = _make_ledger()
     _run_all(ledger)
     ledger.note_state('job', 200, 'done')
@@ -35,16 +35,16 @@
     assert not ledger.broken
 
 
-def test_second_run_beside_the_first() -> None:
-    """Two workers run one task at a time: a family pays twice."""
+def test_task_that_runs_on_two_workers() -> None:
+    """Two workers run the same task at the same time."""
     ledger = _make_ledger()
     ledger.note_start('w-0', _TASK, 1)
     ledger.note_start('w-1', _TASK, 2)
     assert _list_rules(ledger) == ['TWICE']
 
 
-def test_run_after_its_end_was_recorded() -> None:
-    """A task starts again although its good end had been confirmed."""
+def test_start_after_success_was_recorded() -> None:
+    """A task starts again after its success was acknowledged."""
     ledger = _make_ledger()
     ledger.note_start('w-0', _TASK, 1)
     ledger.note_end('w-0', _TASK, is_done=True)
@@ -53,8 +53,8 @@
     assert _list_rules(ledger) == ['TWICE']
 
 
-def test_run_that_may_repeat_what_was_lost_with_its_worker() -> None:
-    """A worker ends with an end that nobody had heard; the task runs anew."""
+def test_task_may_rerun_after_its_worker_was_lost() -> None:
+    """A false alarm for a task that reruns because its worker was lost."""
     ledger = _make_ledger()
     ledger.note_start('w-0', _TASK, 1)
     ledger.note_end('w-0', _TASK, is_done=False)
@@ -62,16 +62,16 @@
     assert not ledger.broken
 
 
-def test_start_before_what_it_needs() -> None:
-    """The second step starts while the first one runs."""
+def test_start_before_required_step_is_done() -> None:
+    """A step starts while the step that it requires still runs."""
     ledger = _make_ledger()
     ledger.note_start('w-0', _TASK, 1)
     ledger.note_start('w-0', _SECOND, 2)
     assert _list_rules(ledger) == ['ORDER']
 
 
-def test_more_than_a_team_may_run() -> None:
-    """A team has more running than its cap, and others wait for it."""
+def test_team_above_its_cap() -> None:
+    """The tasks of a team use more CPU than its cap."""
     ledger = _make_ledger(cap=1000)
     ledger.note_submitted('more', 'breizh', (Step(3, 1000),))
     for position in range(3):
@@ -79,8 +79,8 @@
     assert _list_rules(ledger) == ['QUOTA']
 
 
-def test_accepted_job_that_is_forgotten() -> None:
-    """A caller is told that its accepted job does not exist."""
+def test_accepted_job_that_is_lost() -> None:
+    """An accepted job is reported as unknown and never finishes."""
     ledger = _make_ledger()
     ledger.note_state('job', 410, '')
     ledger.finish(0)
@@ -88,31 +88,31 @@
 
 
 @pytest.mark.parametrize('state', ['done', 'failed', 'cancelled'])
-def test_state_without_ground(state: str) -> None:
-    """A job is said to be over while its tasks wait."""
+def test_wrong_final_state(state: str) -> None:
+    """A job is reported in a final state while its tasks wait."""
     ledger = _make_ledger()
     ledger.note_state('job', 200, state)
     assert len(ledger.broken) == 1
 
 
 def test_refused_job_that_runs() -> None:
-    """A caller was told that nothing ran, books elsewhere, and pays twice."""
+    """A job runs although its caller was told that it was refused."""
     ledger = _make_ledger(503)
     ledger.note_start('w-0', _TASK, 1)
     ledger.finish(0)
     assert _list_rules(ledger) == ['REFUSED']
 
 
-def test_job_whose_answer_was_lost_may_run() -> None:
-    """A caller got no answer, which leaves open whether the job was taken."""
+def test_job_without_response_may_run() -> None:
+    """A false alarm for a job whose submission got no response."""
     ledger = _make_ledger(0)
     ledger.note_start('w-0', _TASK, 1)
     ledger.finish(0)
     assert not ledger.broken
 
 
-def test_start_of_what_nobody_sent() -> None:
-    """A worker is told to run a task of a job that does not exist."""
+def test_start_of_a_job_never_submitted() -> None:
+    """A worker starts a task of a job that no caller submitted."""
     ledger = _make_ledger()
     ledger.note_start('w-0', Task('other', 0, 0), 1)
     assert _list_rules(ledger) == ['UNASKED']
@@ -120,23 +120,23 @@
 
 @pytest.mark.parametrize(('at_s', 'rules'), [(3, []), (9, ['UNASKED'])])
 def test_start_after_a_cancellation(at_s: float, rules: list[str]) -> None:
-    """A cancelled job goes on beyond the time that callers are promised."""
+    """A task of a cancelled job starts after the time limit."""
     ledger = _make_ledger()
     ledger.note_cancelled('job', 1)
     ledger.note_start('w-0', _TASK, at_s)
     assert _list_rules(ledger) == rules
 
 
-def test_start_at_a_worker_that_drains() -> None:
-    """A leaving worker gets new work, and takes it down with it."""
+def test_start_on_a_draining_worker() -> None:
+    """A task starts on a worker that has been draining for a while."""
     ledger = _make_ledger()
     ledger.note_draining('w-0', 1)
     ledger.note_start('w-0', _TASK, 9)
     assert _list_rules(ledger) == ['DRAIN']
 
 
-def test_bounds_wait_until_faults_are_over() -> None:
-    """A leader that was just cut off may be late; one that is well may not."""
+def test_time_limits_are_suspended_during_faults() -> None:
+    """A false alarm for a late reaction while a fault lasts."""
     ledger = _make_ledger()
     ledger.note_draining('w-0', 1)
     ledger.note_fault(2, is_begun=True)
@@ -144,8 +144,8 @@
     assert not ledger.broken
 
 
-def test_older_configuration_is_read() -> None:
-    """An operator reads an older version than the one in force."""
+def test_outdated_configuration_is_read() -> None:
+    """An operator reads an older version than the confirmed one."""
     ledger = _make_ledger(503)
     ledger.note_version(7, 1)
     ledger.note_read(5, 2)
@@ -155,8 +155,8 @@
     assert _list_rules(ledger) == ['CONFIG', 'CONFIG']
 
 
-def test_key_works_after_it_was_taken_away() -> None:
-    """A withdrawn key goes on to work."""
+def test_revoked_key_is_accepted() -> None:
+    """A revoked key is still accepted after the time limit."""
     ledger = _make_ledger()
     ledger.note_revoked('key', 1)
     ledger.note_key_used('key', 200, 5)
@@ -176,13 +176,13 @@
         ('c-1', 0, 9, ['ONE']),
     ],
 )
-def test_two_leaders_order_for_one_instance(
+def test_two_leaders_send_orders_for_one_instance(
     holder: str,
     token: int,
     at_s: float,
     rules: list[str],
 ) -> None:
-    """Two processes take themselves for the leader, one after the other."""
+    """A former leader goes on to send orders, or a token is used twice."""
     ledger = _make_ledger()
     ledger.note_order('m-1', 'c-1', 1, 1)
     ledger.note_order('m-1', holder, token, at_s)
@@ -190,7 +190,7 @@
 
 
 def test_more_instances_down_than_a_wave_allows() -> None:
-    """A wave takes one instance too many down at a time."""
+    """A wave has more instances down at the same time than its cap."""
     ledger = _make_ledger()
     ledger.note_down(1, 'm-1', 1)
     ledger.note_up(1, 'm-1')
@@ -200,8 +200,8 @@
     assert _list_rules(ledger) == ['LIMIT']
 
 
-def test_wave_that_is_said_to_be_done_too_soon() -> None:
-    """An operator is told that a wave is done, without one instance."""
+def test_wave_reported_done_too_soon() -> None:
+    """A wave is reported done before one of its instances was maintained."""
     ledger = _make_ledger()
     ledger.note_wave_done(1, set())
     assert not ledger.broken
@@ -209,8 +209,8 @@
     assert _list_rules(ledger) == ['MIXED']
 
 
-def test_process_that_ends_by_itself() -> None:
-    """A process ends that nobody told to."""
+def test_process_that_exits_unexpectedly() -> None:
+    """A process exits without being told to."""
     ledger = _make_ledger()
     ledger.note_ended('127.0.1.1', 1)
     assert _list_rules(ledger) == ['ENDED']
--- a/tests/soak/test_seeds.py
+++ b/tests/soak/test_seeds.py
@@ -1,4 +1,4 @@
-"""Short runs of the soak; ``python -m soak --fresh=50`` runs long ones."""
+"""Run the soak briefly; ``python -m soak --fresh=50`` runs it at length."""
 
 import asyncio
 from pathlib import Path
@@ -10,12 +10,8 @@
 _LENGTH_S = 8.0
 
 
-def test_promises_hold_through_the_faults_of_a_seed(tmp_path: Path) -> None:
-    """Processes are killed, paused, cut off and told to stop meanwhile.
-
-    Callers use open connections until their process is gone, and send again
-    what had no answer.
-    """
+def test_guarantees_hold_under_the_faults_of_a_seed(tmp_path: Path) -> None:
+    """A guarantee is broken while processes and connections fail."""
     verdict = asyncio.run(run_seed(7, _LENGTH_S, tmp_path, _SIZES))
     assert verdict.broken == ()
     assert verdict.faults > 5
--- a/tests/soak/traffic.py
+++ b/tests/soak/traffic.py
@@ -1,4 +1,4 @@
-"""What callers, workers and operators do while faults happen."""
+"""Generate the traffic of callers, workers and operators during faults."""
 
 import asyncio
 import time
@@ -32,7 +32,7 @@
 
 
 class Catalog:
-    """Hold the configuration as the operators want it."""
+    """Store the configuration that operators want, with its version."""
 
     def __init__(self, caps: dict[str, int]) -> None:
         self.version = 0
@@ -41,7 +41,7 @@
         self._caps = caps
 
     def change(self, random: Random) -> list[str]:
-        """Go on by a version, and give the keys that it takes away."""
+        """Raise the version, and return the keys that the new one revokes."""
         self.version += random.randint(1, 3)
         if random.random() >= _REVOKED_SHARE:
             return []
@@ -52,7 +52,7 @@
         return gone
 
     def make_body(self) -> dict[str, Any]:
-        """Give the whole configuration."""
+        """Return the request body with the whole configuration."""
         route = {
             'name': 'seats',
             'host': 'h.example',
@@ -75,10 +75,10 @@
 
 
 class Traffic:
-    """Run callers, workers' announcements and operators, until stopped.
+    """Run callers, worker announcements and operators until ``is_over``.
 
-    All pick among the addresses by lot, and send what had no clear answer
-    again, to any of them.
+    Each request goes to a random address. Submissions, cancellations and
+    configuration changes are retried until the outcome is clear.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
         self._names = 0
 
     async def submit_jobs(self) -> None:
-        """Be a caller: submit, read and cancel one job after the other."""
+        """Submit jobs one by one, and read or cancel each, as a caller."""
         caller = Caller()
         while not self.is_over:
             await asyncio.sleep(self._random.uniform(*_PAUSE_S))
@@ -110,7 +110,7 @@
         caller.close()
 
     async def announce(self, worker: Worker) -> None:
-        """Be a worker that announces itself, at first to anybody."""
+        """Announce a worker, to the control process that last accepted it."""
         caller = Caller()
         known: Address | None = None
         while not self.is_over:
@@ -135,13 +135,13 @@
         caller.close()
 
     async def check_leases(self, worker: Worker) -> None:
-        """Have a worker end its runs once their lease is over."""
+        """Make a worker end its tasks once its lease has expired."""
         while not self.is_over:
             await asyncio.sleep(_PAUSE_S[0])
             worker.check_lease()
 
     async def configure(self) -> None:
-        """Be an operator that changes the configuration again and again."""
+        """Change the configuration repeatedly, as an operator."""
         caller = Caller()
         while not self.is_over:
             await asyncio.sleep(self._random.uniform(*_CHANGE_S))
@@ -153,7 +153,7 @@
         caller.close()
 
     async def put_catalog(self, caller: Caller, gone: list[str]) -> bool:
-        """Send the configuration until somebody confirms it."""
+        """Send the configuration until it is confirmed or the tries run out."""
         body = self._catalog.make_body()
         for _ in range(_TRIES):
             answer = await self._ask_control(caller, 'PUT', '/config', body)
@@ -167,7 +167,7 @@
         return False
 
     async def read_catalog(self, caller: Caller) -> int:
-        """Read the configuration somewhere; 0 where nobody is sure of it."""
+        """Return the version that a control process serves, 0 on an error."""
         answer = await self._ask_control(caller, 'GET', '/config')
         if answer.code != _DONE:
             return 0
@@ -176,7 +176,7 @@
         return version
 
     async def maintain(self, instances: Instances) -> None:
-        """Be an operator that has instances maintained, in waves."""
+        """Start one maintenance wave after the other, as an operator."""
         caller = Caller()
         wave = 0
         while not self.is_over:
@@ -223,12 +223,15 @@
         body['routes'][0]['service'] = 'nobody'
         answer = await self._ask_control(caller, 'PUT', '/config', body)
         if answer.code == _DONE:
-            self.ledger.broken.append('CONFIG: an invalid one is confirmed.')
+            self.ledger.broken.append(
+                'CONFIG: an invalid configuration is confirmed.'
+            )
 
     async def _submit(self, caller: Caller) -> str:
-        """Submit a job until the answer is clear; give the name of one taken.
+        """Submit a job until it is accepted or refused.
 
-        Now and then a key is used that was taken away before.
+        Return its name, or an empty string if it was not accepted. Some
+        submissions use a revoked key.
         """
         self._names += 1
         name = f'{self._names:016x}'
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -1,7 +1,7 @@
-"""Workers of our own that run tasks by the platform's protocol.
+"""Simulated workers that run tasks by the platform's protocol.
 
-A task's spec says how long it takes. Workers may be silent, carry orders out
-late, crawl, crash, or give their address to their successor.
+A task's spec sets its duration. Faults make workers unresponsive, late or
+slow, or replace them by a new worker at the same address.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 class Life:
-    """Hold one life of a worker: what it runs, has ended and was told."""
+    """Store the state of a worker from its start to its crash or stop."""
 
     def __init__(self, name: str, pool: str, rate: float) -> None:
         self.name = name
@@ -47,12 +47,12 @@
         self._began_s = time.monotonic()
 
     def get_clock_ms(self) -> int:
-        """Give the worker's own time, which may run slow."""
+        """Return the worker's clock, which may run slower than real time."""
         return int((time.monotonic() - self._began_s) * self._rate * _MS) + _MS
 
 
 class Worker:
-    """Serve the lives of one instance, one after the other, at an address."""
+    """Simulate the successive workers of one instance at one address."""
 
     def __init__(
         self,
@@ -79,13 +79,13 @@
         self._server.listen(address)
 
     def begin(self, pool: str) -> None:
-        """Begin a new life; what ran in the last one has ended."""
+        """Start a new worker in a pool; all tasks of the previous one end."""
         self.end()
         rate = self._random.uniform(*_CLOCK_RATES)
         self.life = Life(self._make_name(), pool, rate)
 
     def end(self) -> None:
-        """End the life that there is, with all that it runs."""
+        """End the current worker, if any, and all its tasks."""
         life = self.life
         self.life = None
         if life is not None:
@@ -94,21 +94,21 @@
                 self._finish(life, task, 'lost')
 
     async def stop(self) -> None:
-        """Take no more orders."""
+        """Stop the server, and cancel running work."""
         self.end()
         for task in self._tasks:
             task.cancel()
         await self._server.stop()
 
     def check_lease(self) -> None:
-        """Kill everything once the lease has ended."""
+        """End all tasks if the lease has expired."""
         life = self.life
         if life is not None and life.get_clock_ms() > life.expires_ms:
             for task in tuple(life.running):
                 self._finish(life, task, 'lapsed')
 
     def describe(self) -> _Body:
-        """Give what the worker says of itself."""
+        """Return the body of the worker's announcement."""
         life = self.life
         assert life is not None
         return {
