--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -11,17 +11,17 @@
 from typing import NamedTuple
 
 from soak.ledger import Ledger
-from soak.proxies import Harm, Pair
+from soak.proxies import LinkFaults, Pair
 from soak.site import Site
 
 _GAP_S = (0.1, 2.0)
-_LASTS_S = (0.3, 4.0)
+_DURATION_S = (0.3, 4.0)
 # A replica that lost its disk must catch up before the next one loses its own.
-_DISK_PAUSE_S = 9.0
-_FULL_BYTES = 1
+_DISK_LOSS_PAUSE_S = 9.0
+_FULL_DISK_BYTES = 1
 _POLL_S = 0.01
 _NO_LIMIT = -1
-_TORN = b'\xa5\x01torn'
+_PARTIAL_RECORD = b'\xa5\x01torn'
 
 
 class Fault(NamedTuple):
@@ -29,7 +29,7 @@
 
     kind: str
     at_s: float
-    lasts_s: float
+    duration_s: float
     target: int
 
 
@@ -42,7 +42,7 @@
             Fault(
                 random.choice(tuple(KINDS)),
                 round(at_s, 2),
-                round(random.uniform(*_LASTS_S), 2),
+                round(random.uniform(*_DURATION_S), 2),
                 random.randrange(1000),
             ),
         )
@@ -53,11 +53,13 @@
 class Injector:
     """Inject faults into a site, each in its own asyncio task."""
 
-    def __init__(self, site: Site, ledger: Ledger, say: Callable[..., None]):
+    def __init__(
+        self, site: Site, ledger: Ledger, log_event: Callable[..., None]
+    ):
         self.site = site
         self._ledger = ledger
-        self._say = say
-        self._disk_free_s = float('-inf')
+        self._log_event = log_event
+        self._next_disk_loss_s = float('-inf')
         # Faults that signal or restart the same process run one at a time.
         self._locks = {name: asyncio.Lock() for name in site.names}
 
@@ -74,25 +76,25 @@
     async def kill(self, fault: Fault) -> None:
         """Send SIGKILL to a process, and restart it after the duration."""
         name = self.pick(fault, self.site.names)
-        await self._end(name, signal.SIGKILL, fault.lasts_s)
+        await self._restart(name, signal.SIGKILL, fault.duration_s)
 
     async def stop(self, fault: Fault) -> None:
         """Send SIGTERM to a process, and restart it after the duration."""
         name = self.pick(fault, self.site.names)
-        await self._end(name, signal.SIGTERM, fault.lasts_s)
+        await self._restart(name, signal.SIGTERM, fault.duration_s)
 
     async def kill_controls(self, fault: Fault) -> None:
         """Kill all control processes at once, and restart them."""
         async with asyncio.TaskGroup() as tasks:
             for name in self.site.controls:
-                tasks.create_task(self._end(name, signal.SIGKILL, 0.5))
+                tasks.create_task(self._restart(name, signal.SIGKILL, 0.5))
 
     async def freeze(self, fault: Fault) -> None:
         """Suspend a process with SIGSTOP, and resume it after the duration."""
         name = self.pick(fault, self.site.names)
         async with self._locks[name]:
             self.site.processes.send_signal(name, signal.SIGSTOP)
-            await asyncio.sleep(fault.lasts_s)
+            await asyncio.sleep(fault.duration_s)
             self.site.processes.send_signal(name, signal.SIGCONT)
 
     async def reload(self, fault: Fault) -> None:
@@ -109,14 +111,14 @@
     async def lose_disk(self, fault: Fault) -> None:
         """Kill a control process and delete its data folder."""
         now_s = time.monotonic()
-        if now_s < self._disk_free_s:
+        if now_s < self._next_disk_loss_s:
             return
-        self._disk_free_s = now_s + fault.lasts_s + _DISK_PAUSE_S
+        self._next_disk_loss_s = now_s + fault.duration_s + _DISK_LOSS_PAUSE_S
         name = self.pick(fault, self.site.controls)
-        await self._end(
+        await self._restart(
             name,
             signal.SIGKILL,
-            fault.lasts_s,
+            fault.duration_s,
             lambda: shutil.rmtree(self.site.get_folder(name)),
         )
 
@@ -128,50 +130,54 @@
             path = self.site.get_log(name)
             if path.exists():
                 with path.open('ab') as log:
-                    log.write(_TORN)
+                    log.write(_PARTIAL_RECORD)
 
-        await self._end(name, signal.SIGKILL, fault.lasts_s, tear)
+        await self._restart(name, signal.SIGKILL, fault.duration_s, tear)
 
     async def fill_disk(self, fault: Fault) -> None:
         """Make a control process's file writes fail for the duration."""
         name = self.pick(fault, self.site.controls)
         async with self._locks[name]:
-            self.site.processes.limit_files(name, _FULL_BYTES)
-            await asyncio.sleep(fault.lasts_s)
+            self.site.processes.limit_files(name, _FULL_DISK_BYTES)
+            await asyncio.sleep(fault.duration_s)
             with suppress(OSError):
                 self.site.processes.limit_files(name, _NO_LIMIT)
 
     async def delay(self, fault: Fault) -> None:
         """Delay all bytes on connections to a control process."""
         name = self.pick(fault, self.site.controls)
-        harms = [
-            self.site.proxies.get_harm(Pair(other, name))
+        links = [
+            self.site.proxies.get_link(Pair(other, name))
             for other in ('', *self.site.names)
         ]
-        for harm in harms:
-            harm.delay_s = 0.05
-        await asyncio.sleep(fault.lasts_s)
-        for harm in harms:
-            harm.delay_s = 0
+        for link in links:
+            link.delay_s = 0.05
+        await asyncio.sleep(fault.duration_s)
+        for link in links:
+            link.delay_s = 0
 
     async def cut(self, fault: Fault) -> None:
         """Hold back all bytes between a control process and the others."""
         name = self.pick(fault, self.site.controls)
-        harms = self._list_harms(name)
-        await self._hold(fault, harms, forward=1, back=1)
+        links = self._list_links(name)
+        await self._hold_links(fault, links, forward=1, back=1)
 
     async def cut_one_way(self, fault: Fault) -> None:
         """Hold back all bytes that others send to a control process."""
         name = self.pick(fault, self.site.controls)
         dialled = [
-            harm for pair, harm in self._pair_up(name) if pair[1] == name
+            link
+            for pair, link in self._list_links_by_pair(name)
+            if pair[1] == name
         ]
         dialling = [
-            harm for pair, harm in self._pair_up(name) if pair[0] == name
+            link
+            for pair, link in self._list_links_by_pair(name)
+            if pair[0] == name
         ]
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._hold(fault, dialled, forward=1))
-            tasks.create_task(self._hold(fault, dialling, back=1))
+            tasks.create_task(self._hold_links(fault, dialled, forward=1))
+            tasks.create_task(self._hold_links(fault, dialling, back=1))
 
     async def cut_pair(self, fault: Fault) -> None:
         """Hold back all bytes between two control processes only."""
@@ -179,54 +185,54 @@
         first = self.pick(fault, names)
         second = names[(names.index(first) + 1) % len(names)]
         pairs = (Pair(first, second), Pair(second, first))
-        harms = [self.site.proxies.get_harm(pair) for pair in pairs]
-        await self._hold(fault, harms, forward=1, back=1)
+        links = [self.site.proxies.get_link(pair) for pair in pairs]
+        await self._hold_links(fault, links, forward=1, back=1)
 
     async def reset(self, fault: Fault) -> None:
         """Reset all proxied connections of a process."""
         self.site.proxies.reset(self.pick(fault, self.site.names))
 
-    async def forget(self, fault: Fault) -> None:
+    async def blackhole(self, fault: Fault) -> None:
         """Drop all further bytes on the open connections of a process."""
-        self.site.proxies.forget(self.pick(fault, self.site.names))
+        self.site.proxies.blackhole(self.pick(fault, self.site.names))
 
     async def silence_worker(self, fault: Fault) -> None:
         """Make a worker unresponsive while its tasks keep running."""
         worker = self.site.pick_worker(fault.target)
         worker.is_silent = True
-        await asyncio.sleep(2 * fault.lasts_s)
+        await asyncio.sleep(2 * fault.duration_s)
         worker.is_silent = False
 
     async def make_worker_late(self, fault: Fault) -> None:
         """Make a worker apply some orders late, and then answer 503."""
         worker = self.site.pick_worker(fault.target)
         worker.late_share = 0.3
-        await asyncio.sleep(2 * fault.lasts_s)
+        await asyncio.sleep(2 * fault.duration_s)
         worker.late_share = 0
 
     async def slow_worker(self, fault: Fault) -> None:
         """Slow down the tasks of a worker."""
         worker = self.site.pick_worker(fault.target)
         worker.slowness = 6
-        await asyncio.sleep(2 * fault.lasts_s)
+        await asyncio.sleep(2 * fault.duration_s)
         worker.slowness = 1
 
     async def crash_worker(self, fault: Fault) -> None:
         """Crash a worker, and start a new one at its address."""
         worker = self.site.pick_worker(fault.target)
-        if worker.life is not None:
-            worker.begin(worker.life.pool)
+        if worker.incarnation is not None:
+            worker.begin(worker.incarnation.pool)
 
     async def drain_worker(self, fault: Fault) -> None:
         """Drain a worker, and then replace it by a new one."""
         worker = self.site.pick_worker(fault.target)
-        life = worker.life
-        if life is None:
+        incarnation = worker.incarnation
+        if incarnation is None:
             return
-        life.is_draining = True
-        await asyncio.sleep(2 + fault.lasts_s)
-        if worker.life is life:
-            worker.begin(life.pool)
+        incarnation.is_draining = True
+        await asyncio.sleep(2 + fault.duration_s)
+        if worker.incarnation is incarnation:
+            worker.begin(incarnation.pool)
 
     async def _run_one(self, fault: Fault) -> None:
         await asyncio.sleep(fault.at_s)
@@ -237,45 +243,47 @@
             self._note('fault.over', fault, is_begun=False)
 
     def _note(self, event: str, fault: Fault, *, is_begun: bool) -> None:
-        self._say(event, kind=fault.kind, target=fault.target)
+        self._log_event(event, kind=fault.kind, target=fault.target)
         self._ledger.note_fault(time.monotonic(), is_begun=is_begun)
 
-    async def _end(
+    async def _restart(
         self,
         name: str,
-        number: int,
-        lasts_s: float,
-        meanwhile: Callable[[], None] | None = None,
+        signal_number: int,
+        duration_s: float,
+        while_down: Callable[[], None] | None = None,
     ) -> None:
         async with self._locks[name]:
-            await asyncio.to_thread(self.site.processes.stop, name, number)
-            if meanwhile is not None:
-                meanwhile()
-            await asyncio.sleep(lasts_s)
+            await asyncio.to_thread(
+                self.site.processes.stop, name, signal_number
+            )
+            if while_down is not None:
+                while_down()
+            await asyncio.sleep(duration_s)
             self.site.start(name)
 
-    def _pair_up(self, name: str) -> list[tuple[Pair, Harm]]:
+    def _list_links_by_pair(self, name: str) -> list[tuple[Pair, LinkFaults]]:
         others = [other for other in self.site.names if other != name]
         pairs = [Pair(name, other) for other in others]
         pairs += [Pair(other, name) for other in others]
-        return [(pair, self.site.proxies.get_harm(pair)) for pair in pairs]
+        return [(pair, self.site.proxies.get_link(pair)) for pair in pairs]
 
-    def _list_harms(self, name: str) -> list[Harm]:
-        return [harm for _, harm in self._pair_up(name)]
+    def _list_links(self, name: str) -> list[LinkFaults]:
+        return [link for _, link in self._list_links_by_pair(name)]
 
-    async def _hold(
+    async def _hold_links(
         self,
         fault: Fault,
-        harms: list[Harm],
+        links: list[LinkFaults],
         *,
         forward: int = 0,
         back: int = 0,
     ) -> None:
-        for harm in harms:
-            harm.hold(forward=forward, back=back)
-        await asyncio.sleep(fault.lasts_s)
-        for healed in harms:
-            healed.hold(forward=-forward, back=-back)
+        for link in links:
+            link.hold(forward=forward, back=back)
+        await asyncio.sleep(fault.duration_s)
+        for held_link in links:
+            held_link.hold(forward=-forward, back=-back)
         await self.site.proxies.apply()
 
 
@@ -294,7 +302,7 @@
         'link.one_way': Injector.cut_one_way,
         'link.pair': Injector.cut_pair,
         'link.reset': Injector.reset,
-        'link.forget': Injector.forget,
+        'link.forget': Injector.blackhole,
         'worker.silent': Injector.silence_worker,
         'worker.late': Injector.make_worker_late,
         'worker.slow': Injector.slow_worker,
--- a/tests/soak/instances.py
+++ b/tests/soak/instances.py
@@ -15,8 +15,8 @@
 
 POOL = 'booking'
 STANDBY = 'spare'
-_MOVE_S = 1.0
-_UPKEEP_S = 1.2
+_MOVE_DURATION_S = 1.0
+_MAINTENANCE_DURATION_S = 1.2
 
 
 class Instances:
@@ -91,7 +91,7 @@
         self._note_order(request, instance)
         maintained.add(instance)
         self._ledger.note_down(wave, instance, self.caps[wave])
-        self._spawn(self._restart(instance, _UPKEEP_S, wave))
+        self._spawn(self._restart(instance, _MAINTENANCE_DURATION_S, wave))
         return HttpResponse(200)
 
     def _move(
@@ -106,7 +106,7 @@
             return _make_reply(409, reason='busy')
         self._note_order(request, instance)
         self.pools[instance] = pool
-        self._spawn(self._restart(instance, _MOVE_S))
+        self._spawn(self._restart(instance, _MOVE_DURATION_S))
         return HttpResponse(200)
 
     def _note_order(self, request: HTTPServerRequest, instance: str) -> None:
@@ -120,12 +120,12 @@
     async def _restart(
         self,
         instance: str,
-        lasts_s: float,
+        duration_s: float,
         wave: int | None = None,
     ) -> None:
         self._busy.add(instance)
         self._workers[instance].end()
-        await asyncio.sleep(lasts_s)
+        await asyncio.sleep(duration_s)
         self._busy.discard(instance)
         self.put(instance, self.pools[instance])
         if wave is not None:
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -17,11 +17,11 @@
 class Bounds(NamedTuple):
     """Store the time limits within which each guarantee must take effect.
 
-    ``touch_s`` is the recovery time after the last fault, which is added to
+    ``recovery_s`` is the recovery time after the last fault, which is added to
     the limits for cancellations and drains.
     """
 
-    touch_s: float = 3.0
+    recovery_s: float = 3.0
     cancel_s: float = 3.0
     drain_s: float = 2.0
     in_force_s: float = 2.0
@@ -34,7 +34,7 @@
 
     task_count: int
     millicores: int
-    needs: tuple[int, ...] = ()
+    required_steps: tuple[int, ...] = ()
 
 
 class Task(NamedTuple):
@@ -58,7 +58,7 @@
         self.team = team
         self.steps = steps
         self.is_accepted = False
-        self.is_doubtful = False
+        self.is_outcome_unknown = False
         self.cancelled_s: float | None = None
         self.done: set[Task] = set()
 
@@ -90,13 +90,13 @@
         self._revoked: dict[str, float] = {}
         self._orders: dict[str, list[_Order]] = defaultdict(list)
         self._down: dict[int, set[str]] = defaultdict(set)
-        self._faults = 0
-        self._calm_since_s = float('-inf')
+        self._active_faults = 0
+        self._fault_changed_s = float('-inf')
 
     def note_fault(self, now_s: float, *, is_begun: bool) -> None:
         """Record that a fault begins or ends."""
-        self._faults += 1 if is_begun else -1
-        self._calm_since_s = now_s
+        self._active_faults += 1 if is_begun else -1
+        self._fault_changed_s = now_s
 
     def note_submitted(
         self,
@@ -113,7 +113,7 @@
         if code in _ACCEPTED:
             job.is_accepted = True
         elif code not in _REFUSED:
-            job.is_doubtful = True
+            job.is_outcome_unknown = True
 
     def note_cancelled(self, name: str, now_s: float) -> None:
         """Record that a cancellation was confirmed."""
@@ -126,35 +126,41 @@
         job = self.jobs[name]
         is_cancelled = job.cancelled_s is not None
         if code == _GONE:
-            self._break('LOST', f'{name} was accepted and is now unknown')
+            self._report_violation(
+                'LOST', f'{name} was accepted and is now unknown'
+            )
         elif state == 'done' and not job.is_done:
-            self._break(
+            self._report_violation(
                 'MIXED', f'{name} is reported done with unfinished tasks'
             )
         elif state == 'failed' or state == 'cancelled' and not is_cancelled:
-            self._break('LOST', f'{name} is reported {state}')
+            self._report_violation('LOST', f'{name} is reported {state}')
 
     def note_start(self, worker: str, task: Task, now_s: float) -> None:
         """Check and record that a task starts on a worker."""
         job = self.jobs.get(task.job)
         if job is None:
-            self._break('UNASKED', f'{task} was never submitted')
+            self._report_violation('UNASKED', f'{task} was never submitted')
             return
         if self._running[task]:
-            self._break(
+            self._report_violation(
                 'TWICE', f'{task} already runs on {self._running[task]}'
             )
         if task in self._recorded:
-            self._break(
+            self._report_violation(
                 'TWICE', f'{task} starts after its success was recorded'
             )
-        self._check_needs(job, task)
+        self._check_required_steps(job, task)
         self._check_cap(job, task)
         bounds = self._bounds
         if self._is_late(job.cancelled_s, bounds.cancel_s, now_s):
-            self._break('UNASKED', f'{task} starts after its cancellation')
+            self._report_violation(
+                'UNASKED', f'{task} starts after its cancellation'
+            )
         if self._is_late(self._draining.get(worker), bounds.drain_s, now_s):
-            self._break('DRAIN', f'{task} starts on draining worker {worker}')
+            self._report_violation(
+                'DRAIN', f'{task} starts on draining worker {worker}'
+            )
         self._running[task].add(worker)
 
     def note_end(self, worker: str, task: Task, *, is_done: bool) -> None:
@@ -181,7 +187,7 @@
         due_s = sent_s - self._bounds.in_force_s
         known = [one for at_s, one in self._versions if at_s <= due_s]
         if version < max(known, default=0):
-            self._break(
+            self._report_violation(
                 'CONFIG', f'version {version} is read after {max(known)}'
             )
 
@@ -193,7 +199,9 @@
         """Check that a revoked key is no longer accepted for a submission."""
         revoked_s = self._revoked.get(key, float('inf'))
         if code in _ACCEPTED and sent_s > revoked_s + self._bounds.revoke_s:
-            self._break('CONFIG', f'{key} is accepted after it was revoked')
+            self._report_violation(
+                'CONFIG', f'{key} is accepted after it was revoked'
+            )
 
     def note_order(
         self,
@@ -205,23 +213,27 @@
         """Check the lease holder and the fencing token of an instance order."""
         for order in self._orders[instance]:
             if order.holder != holder and order.token == token:
-                self._break(
+                self._report_violation(
                     'ONE', f'{instance}: two lease holders with token {token}'
                 )
             if order.token > token:
-                self._break(
+                self._report_violation(
                     'ONE', f'{instance}: token {token} after {order.token}'
                 )
             is_near = now_s < order.at_s + self._bounds.holder_s
             if order.holder != holder and is_near:
-                self._break('ONE', f'{instance}: lease holder changed too soon')
+                self._report_violation(
+                    'ONE', f'{instance}: lease holder changed too soon'
+                )
         self._orders[instance].append(_Order(holder, token, now_s))
 
     def note_down(self, wave: int, instance: str, cap: int) -> None:
         """Check the limit of a wave when an instance goes down."""
         self._down[wave].add(instance)
         if len(self._down[wave]) > cap:
-            self._break('LIMIT', f'{self._down[wave]} are down in wave {wave}')
+            self._report_violation(
+                'LIMIT', f'{self._down[wave]} are down in wave {wave}'
+            )
 
     def note_up(self, wave: int, instance: str) -> None:
         """Record that an instance is up again after its maintenance."""
@@ -230,13 +242,15 @@
     def note_wave_done(self, wave: int, missing: set[str]) -> None:
         """Check that a wave reported as done has missed no instance."""
         if missing:
-            self._break(
+            self._report_violation(
                 'MIXED', f'wave {wave} is reported done without {missing}'
             )
 
     def note_ended(self, process: str, code: int) -> None:
         """Record that a process exited without being told to."""
-        self._break('ENDED', f'{process} exited unexpectedly with code {code}')
+        self._report_violation(
+            'ENDED', f'{process} exited unexpectedly with code {code}'
+        )
 
     def list_unfinished(self) -> list[str]:
         """Return the accepted, not cancelled jobs with unfinished tasks."""
@@ -249,27 +263,29 @@
     def finish(self, version: int) -> None:
         """Check the rules that hold once faults and traffic have ended."""
         for name in self.list_unfinished():
-            self._break('LOST', f'{name} has unfinished tasks')
+            self._report_violation('LOST', f'{name} has unfinished tasks')
         for name, job in self.jobs.items():
-            is_refused = not (job.is_accepted or job.is_doubtful)
+            is_refused = not (job.is_accepted or job.is_outcome_unknown)
             if is_refused and self._has_begun(name):
-                self._break('REFUSED', f'{name} was refused and ran')
+                self._report_violation('REFUSED', f'{name} was refused and ran')
         for task, workers in self._running.items():
             if workers and self.jobs[task.job].cancelled_s is not None:
-                self._break('UNASKED', f'{task} runs on after its cancellation')
+                self._report_violation(
+                    'UNASKED', f'{task} runs on after its cancellation'
+                )
         if version < self.acknowledged_version:
-            self._break(
+            self._report_violation(
                 'CONFIG', f'version {version} is older than the confirmed one'
             )
 
     def _has_begun(self, name: str) -> bool:
         return any(task.job == name for task in self._running)
 
-    def _check_needs(self, job: _Job, task: Task) -> None:
-        for needed in job.steps[task.step].needs:
+    def _check_required_steps(self, job: _Job, task: Task) -> None:
+        for needed in job.steps[task.step].required_steps:
             ended = sum(one.step == needed for one in job.done)
             if ended < job.steps[needed].task_count:
-                self._break(
+                self._report_violation(
                     'ORDER', f'{task} starts before step {needed} is done'
                 )
 
@@ -281,7 +297,7 @@
             if workers and self.jobs[one.job].team == job.team
         )
         if cap and used > cap * _CAP_SLACK:
-            self._break(
+            self._report_violation(
                 'QUOTA', f'{job.team} uses {used} millicores before {task}'
             )
 
@@ -291,9 +307,11 @@
         bound_s: float,
         now_s: float,
     ) -> bool:
-        if since_s is None or now_s < since_s + bound_s or self._faults:
+        if since_s is None or now_s < since_s + bound_s or self._active_faults:
             return False
-        return now_s >= self._calm_since_s + self._bounds.touch_s + bound_s
+        return (
+            now_s >= self._fault_changed_s + self._bounds.recovery_s + bound_s
+        )
 
-    def _break(self, rule: str, text: str) -> None:
+    def _report_violation(self, rule: str, text: str) -> None:
         self.broken.append(f'{rule}: {text}.')
--- a/tests/soak/proxies.py
+++ b/tests/soak/proxies.py
@@ -23,7 +23,7 @@
     receiver: str
 
 
-class Harm:
+class LinkFaults:
     """Store the faults on connections between two processes.
 
     Held bytes are delivered after the last hold, as TCP does after a partition.
@@ -46,7 +46,7 @@
     def __init__(self, pair: Pair, writers: list[asyncio.StreamWriter]) -> None:
         self.pair = pair
         self.writers = writers
-        self.is_forgotten = False
+        self.is_blackholed = False
 
     def reset(self) -> None:
         """Reset both ends."""
@@ -65,7 +65,7 @@
 
     def __init__(self, names: Mapping[str, str]) -> None:
         self._names = names
-        self._harms: dict[Pair, Harm] = {}
+        self._links: dict[Pair, LinkFaults] = {}
         self._changed = asyncio.Condition()
         self._open: set[_Connection] = set()
         self._servers: list[asyncio.Server] = []
@@ -88,9 +88,9 @@
 
         self._servers.append(await asyncio.start_server(accept, *outside))
 
-    def get_harm(self, pair: Pair) -> Harm:
+    def get_link(self, pair: Pair) -> LinkFaults:
         """Return the mutable fault state between two processes."""
-        return self._harms.setdefault(pair, Harm())
+        return self._links.setdefault(pair, LinkFaults())
 
     async def apply(self) -> None:
         """Wake the relays, so that they deliver what is no longer held."""
@@ -103,18 +103,18 @@
             if name in connection.pair:
                 connection.reset()
 
-    def forget(self, name: str) -> None:
+    def blackhole(self, name: str) -> None:
         """Drop all further bytes on the open connections of a process."""
         for connection in self._open:
             if name in connection.pair:
-                connection.is_forgotten = True
+                connection.is_blackholed = True
 
     async def close(self) -> None:
         """Stop listening, and reset the open connections."""
         for server in self._servers:
             server.close()
-        for harm in self._harms.values():
-            harm.hold(forward=-harm.forward_holds, back=-harm.back_holds)
+        for link in self._links.values():
+            link.hold(forward=-link.forward_holds, back=-link.back_holds)
         await self.apply()
         for connection in tuple(self._open):
             connection.reset()
@@ -129,21 +129,25 @@
         inside: tuple[str, int],
     ) -> None:
         try:
-            there = await asyncio.open_connection(*inside)
+            target_streams = await asyncio.open_connection(*inside)
         except OSError:
             writer.transport.abort()
             return
-        connection = _Connection(pair, [writer, there[1]])
+        connection = _Connection(pair, [writer, target_streams[1]])
         self._open.add(connection)
         try:
             await asyncio.gather(
-                self._pass(connection, reader, there[1], is_back=False),
-                self._pass(connection, there[0], writer, is_back=True),
+                self._copy_bytes(
+                    connection, reader, target_streams[1], is_back=False
+                ),
+                self._copy_bytes(
+                    connection, target_streams[0], writer, is_back=True
+                ),
             )
         finally:
             self._open.discard(connection)
 
-    async def _pass(
+    async def _copy_bytes(
         self,
         connection: _Connection,
         reader: asyncio.StreamReader,
@@ -151,21 +155,23 @@
         *,
         is_back: bool,
     ) -> None:
-        harm = self.get_harm(connection.pair)
+        link = self.get_link(connection.pair)
         with suppress(OSError):
             while block := await reader.read(_BLOCK_BYTES):
-                await asyncio.sleep(harm.delay_s)
-                await self._wait_while_held(harm, is_back=is_back)
-                if not connection.is_forgotten:
+                await asyncio.sleep(link.delay_s)
+                await self._wait_until_released(link, is_back=is_back)
+                if not connection.is_blackholed:
                     writer.write(block)
                     await writer.drain()
-        await self._wait_while_held(harm, is_back=is_back)
-        if not connection.is_forgotten:
+        await self._wait_until_released(link, is_back=is_back)
+        if not connection.is_blackholed:
             writer.close()
 
-    async def _wait_while_held(self, harm: Harm, *, is_back: bool) -> None:
+    async def _wait_until_released(
+        self, link: LinkFaults, *, is_back: bool
+    ) -> None:
         def is_free() -> bool:
-            return harm.back_holds == 0 if is_back else harm.forward_holds == 0
+            return link.back_holds == 0 if is_back else link.forward_holds == 0
 
         if not is_free():
             async with self._changed:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -16,14 +16,14 @@
 from soak.traffic import TEAMS, Catalog, Traffic
 
 _CAP_MILLICORES = 24_000
-_STARTED_S = 20.0
-_SETTLE_S = 30.0
+_START_TIMEOUT_S = 20.0
+_SETTLE_TIMEOUT_S = 30.0
 _POLL_S = 0.2
 _THREADS = 64
 
 
 class Verdict(NamedTuple):
-    """Store the result of a run; ``broken`` lists the violated rules."""
+    """Store the result of a run; ``broken`` lists the rule violations."""
 
     seed: int
     broken: tuple[str, ...]
@@ -54,15 +54,15 @@
     entries, controls = site.get_addresses()
     traffic = Traffic(ledger, Catalog(caps), entries, controls, random)
     with (folder / 'soak.log').open('a') as log:
-        say = _make_say(log)
-        injector = Injector(site, ledger, say)
+        log_event = _make_event_log(log)
+        injector = Injector(site, ledger, log_event)
         try:
             version = await _run(site, traffic, injector, faults, length_s)
         finally:
-            await site.end()
+            await site.stop_all()
         for text in ledger.broken:
-            say('broken', text=text)
-    return _judge(seed, ledger, len(faults), version)
+            log_event('broken', text=text)
+    return _make_verdict(seed, ledger, len(faults), version)
 
 
 async def _run(
@@ -73,13 +73,15 @@
     length_s: float,
 ) -> int:
     caller = Caller()
-    await site.begin()
-    async with asyncio.timeout(_STARTED_S):
+    await site.start_all()
+    async with asyncio.timeout(_START_TIMEOUT_S):
         while not await traffic.put_catalog(caller, []):
             await asyncio.sleep(_POLL_S)
     tasks = _start_traffic(site, traffic)
     try:
-        version = await _play(traffic, caller, injector.run(faults), length_s)
+        version = await _run_faults(
+            traffic, caller, injector.run(faults), length_s
+        )
     finally:
         for task in tasks:
             task.cancel()
@@ -88,7 +90,7 @@
     return version
 
 
-async def _play(
+async def _run_faults(
     traffic: Traffic,
     caller: Caller,
     faults: Coroutine[Any, Any, None],
@@ -98,45 +100,50 @@
         group.create_task(faults)
         group.create_task(asyncio.sleep(length_s))
     traffic.is_over = True
-    due_s = time.monotonic() + _SETTLE_S
-    while traffic.ledger.list_unfinished() and time.monotonic() < due_s:
+    deadline_s = time.monotonic() + _SETTLE_TIMEOUT_S
+    while traffic.ledger.list_unfinished() and time.monotonic() < deadline_s:
         await asyncio.sleep(_POLL_S)
-    return await _read_at_last(traffic, caller, due_s)
+    return await _read_final_version(traffic, caller, deadline_s)
 
 
 def _start_traffic(site: Site, traffic: Traffic) -> list[asyncio.Task[None]]:
     jobs = [traffic.submit_jobs() for _ in range(site.sizes.callers)]
-    beats = [traffic.announce(worker) for worker in site.workers.values()]
+    announcements = [
+        traffic.announce(worker) for worker in site.workers.values()
+    ]
     leases = [traffic.check_leases(worker) for worker in site.workers.values()]
     others = [traffic.configure(), traffic.maintain(site.instances)]
     others.append(site.watch())
     return [
-        asyncio.create_task(work) for work in (*jobs, *beats, *leases, *others)
+        asyncio.create_task(coroutine)
+        for coroutine in (*jobs, *announcements, *leases, *others)
     ]
 
 
-async def _read_at_last(
+async def _read_final_version(
     traffic: Traffic,
     caller: Caller,
-    due_s: float,
+    deadline_s: float,
 ) -> int:
     while True:
         version = await traffic.read_catalog(caller)
-        if version or time.monotonic() > due_s:
+        if version or time.monotonic() > deadline_s:
             return version
         await asyncio.sleep(_POLL_S)
 
 
-def _make_say(log: Any) -> Any:
-    def say(event: str, **details: Any) -> None:
+def _make_event_log(log: Any) -> Any:
+    def log_event(event: str, **details: Any) -> None:
         line = {'at': time.time(), 'event': event, **details}
         log.write(json.dumps(line) + '\n')
         log.flush()
 
-    return say
+    return log_event
 
 
-def _judge(seed: int, ledger: Ledger, faults: int, version: int) -> Verdict:
+def _make_verdict(
+    seed: int, ledger: Ledger, faults: int, version: int
+) -> Verdict:
     jobs = ledger.jobs.values()
     return Verdict(
         seed,
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -17,12 +17,12 @@
 
 # Control processes are dialled at the first address, where a proxy listens,
 # and listen at the second.
-_OUTSIDE = '127.0.1.{}'
-_INSIDE = '127.0.2.{}'
-_ENTRY = '127.0.3.{}'
-_WORKER = '127.0.4.{}'
-_INSTANCES = '127.0.5.1'
-_WATCH_S = 0.2
+_PROXY_HOST = '127.0.1.{}'
+_CONTROL_HOST = '127.0.2.{}'
+_ENTRY_HOST = '127.0.3.{}'
+_WORKER_HOST = '127.0.4.{}'
+_INSTANCES_HOST = '127.0.5.1'
+_WATCH_INTERVAL_S = 0.2
 
 
 class Sizes(NamedTuple):
@@ -54,10 +54,10 @@
 
     def __init__(self, folder: Path, sizes: Sizes, ledger: Ledger, seed: int):
         self.controls = tuple(
-            _OUTSIDE.format(place + 1) for place in range(sizes.controls)
+            _PROXY_HOST.format(index + 1) for index in range(sizes.controls)
         )
         self.entries = tuple(
-            _ENTRY.format(place + 1) for place in range(sizes.entries)
+            _ENTRY_HOST.format(index + 1) for index in range(sizes.entries)
         )
         self.processes = PlatformProcesses(folder)
         self.proxies = Proxies(
@@ -70,7 +70,7 @@
         self._started: set[str] = set()
         self.workers = self._make_workers(ledger, Random(seed))
         self.instances = Instances(
-            Address(_INSTANCES, self._ports.worker),
+            Address(_INSTANCES_HOST, self._ports.worker),
             self.workers,
             ledger,
         )
@@ -88,19 +88,19 @@
             tuple(Address(name, ports.operators) for name in self.controls),
         )
 
-    async def begin(self) -> None:
+    async def start_all(self) -> None:
         """Start the proxies, the workers and all processes."""
         for name in self.controls:
             inside = self._get_inside(name)
             for port in (self._ports.cluster, self._ports.operators):
                 await self.proxies.listen(name, (name, port), (inside, port))
-        for place, instance in enumerate(self.workers):
-            is_spare = place >= self.sizes.workers
-            self.instances.put(instance, STANDBY if is_spare else POOL)
+        for index, instance in enumerate(self.workers):
+            is_standby = index >= self.sizes.workers
+            self.instances.put(instance, STANDBY if is_standby else POOL)
         for process in self.names:
             self.start(process)
 
-    async def end(self) -> None:
+    async def stop_all(self) -> None:
         """Stop all processes, proxies, workers and the instance server."""
         for name in self.processes.ids:
             self.processes.send_signal(name, signal.SIGCONT)
@@ -118,7 +118,7 @@
     async def watch(self) -> None:
         """Record each process that exits unexpectedly, and restart it."""
         while True:
-            await asyncio.sleep(_WATCH_S)
+            await asyncio.sleep(_WATCH_INTERVAL_S)
             for name, code in self.processes.list_ended().items():
                 self._ledger.note_ended(name, code)
                 self.start(name)
@@ -141,14 +141,14 @@
         numbers = count(1)
         total = self.sizes.workers + self.sizes.standby
         return {
-            f'm-{place}': Worker(
-                f'm-{place}',
-                Address(_WORKER.format(place + 1), self._ports.worker),
+            f'm-{index}': Worker(
+                f'm-{index}',
+                Address(_WORKER_HOST.format(index + 1), self._ports.worker),
                 ledger,
                 random,
                 lambda: f'i-{next(numbers)}',
             )
-            for place in range(total)
+            for index in range(total)
         }
 
     def _make_settings(self, name: str) -> dict[str, Any]:
@@ -166,7 +166,7 @@
             'data_centre': 'rennes',
             'data_folder': str(self.get_folder(name)),
             'network': 'private',
-            'instances': f'{_INSTANCES}:{ports.worker}',
+            'instances': f'{_INSTANCES_HOST}:{ports.worker}',
             'cluster': cluster,
             'logs': {'format': 'json'},
         }
@@ -187,10 +187,9 @@
         # Entries have no proxy: only callers dial them, and do so directly.
         if name in self.entries:
             return name
-        return _INSIDE.format(self.controls.index(name) + 1)
+        return _CONTROL_HOST.format(self.controls.index(name) + 1)
 
 
 def _find_ports() -> Ports:
-    # Peers use the first port of the pair, the built-in operator address the
-    # second.
+    # A control process listens at the cluster port and at the next one.
     return Ports(find_port_pair(), *find_ports(3))
--- a/tests/soak/traffic.py
+++ b/tests/soak/traffic.py
@@ -16,19 +16,19 @@
 _DONE = 200
 _REFUSED = frozenset((429, 503))
 _INVALID = range(400, 500)
-_AGAIN_S = 0.25
+_RETRY_INTERVAL_S = 0.25
 _PAUSE_S = (0.02, 0.5)
 _TASK_MS = (50, 900)
 _MILLICORES = (500, 2000)
-_CANCELLED_SHARE = 0.1
-_BEAT_S = 0.5
-_CHANGE_S = (0.4, 1.5)
+_CANCELLATION_SHARE = 0.1
+_ANNOUNCE_INTERVAL_S = 0.5
+_CHANGE_INTERVAL_S = (0.4, 1.5)
 _TRIES = 40
-_REVOKED_SHARE = 0.15
-_BAD_SHARE = 0.15
-_WAVE_S = (3.0, 6.0)
+_REVOCATION_SHARE = 0.15
+_INVALID_SHARE = 0.15
+_WAVE_INTERVAL_S = (3.0, 6.0)
 _WAVE_CAP = 2
-_WAVE_DUE_S = 10
+_WAVE_DEADLINE_S = 10
 
 
 class Catalog:
@@ -37,19 +37,19 @@
     def __init__(self, caps: dict[str, int]) -> None:
         self.version = 0
         self.keys = {team: [f'{team}-0'] for team in TEAMS}
-        self.retired: dict[str, list[str]] = {team: [] for team in TEAMS}
+        self.revoked: dict[str, list[str]] = {team: [] for team in TEAMS}
         self._caps = caps
 
     def change(self, random: Random) -> list[str]:
         """Raise the version, and return the keys that the new one revokes."""
         self.version += random.randint(1, 3)
-        if random.random() >= _REVOKED_SHARE:
+        if random.random() >= _REVOCATION_SHARE:
             return []
         team = random.choice(TEAMS)
-        gone = self.keys[team]
+        revoked_keys = self.keys[team]
         self.keys[team] = [f'{team}-{self.version}']
-        self.retired[team].extend(gone)
-        return gone
+        self.revoked[team].extend(revoked_keys)
+        return revoked_keys
 
     def make_body(self) -> dict[str, Any]:
         """Return the request body with the whole configuration."""
@@ -95,7 +95,7 @@
         self._entries = entries
         self._controls = controls
         self._random = random
-        self._names = 0
+        self._job_count = 0
 
     async def submit_jobs(self) -> None:
         """Submit jobs one by one, and read or cancel each, as a caller."""
@@ -103,35 +103,37 @@
         while not self.is_over:
             await asyncio.sleep(self._random.uniform(*_PAUSE_S))
             name = await self._submit(caller)
-            if name and self._random.random() < _CANCELLED_SHARE:
+            if name and self._random.random() < _CANCELLATION_SHARE:
                 await self._cancel(caller, name)
             elif name:
-                await self._read(caller, name)
+                await self._poll_state(caller, name)
         caller.close()
 
     async def announce(self, worker: Worker) -> None:
         """Announce a worker, to the control process that last accepted it."""
         caller = Caller()
-        known: Address | None = None
+        accepting: Address | None = None
         while not self.is_over:
-            await asyncio.sleep(_BEAT_S)
+            await asyncio.sleep(_ANNOUNCE_INTERVAL_S)
             worker.check_lease()
-            life = worker.life
-            if life is None or worker.is_silent:
+            incarnation = worker.incarnation
+            if incarnation is None or worker.is_silent:
                 continue
             body = worker.describe()
-            asked = known or self._random.choice(self._controls)
+            address = accepting or self._random.choice(self._controls)
             answer = await caller.call(
-                asked,
+                address,
                 'PUT',
-                f'/instances/{life.name}',
+                f'/instances/{incarnation.name}',
                 body,
             )
-            known = None
+            accepting = None
             if answer.code == _DONE:
-                known = asked
+                accepting = address
                 if body['state'] == 'draining':
-                    self.ledger.note_draining(life.name, time.monotonic())
+                    self.ledger.note_draining(
+                        incarnation.name, time.monotonic()
+                    )
         caller.close()
 
     async def check_leases(self, worker: Worker) -> None:
@@ -144,31 +146,33 @@
         """Change the configuration repeatedly, as an operator."""
         caller = Caller()
         while not self.is_over:
-            await asyncio.sleep(self._random.uniform(*_CHANGE_S))
-            if self._random.random() < _BAD_SHARE:
-                await self._send_bad(caller)
-            gone = self._catalog.change(self._random)
-            await self.put_catalog(caller, gone)
+            await asyncio.sleep(self._random.uniform(*_CHANGE_INTERVAL_S))
+            if self._random.random() < _INVALID_SHARE:
+                await self._send_invalid_catalog(caller)
+            revoked_keys = self._catalog.change(self._random)
+            await self.put_catalog(caller, revoked_keys)
             await self.read_catalog(caller)
         caller.close()
 
-    async def put_catalog(self, caller: Caller, gone: list[str]) -> bool:
+    async def put_catalog(
+        self, caller: Caller, revoked_keys: list[str]
+    ) -> bool:
         """Send the configuration until it is confirmed or the tries run out."""
         body = self._catalog.make_body()
         for _ in range(_TRIES):
-            answer = await self._ask_control(caller, 'PUT', '/config', body)
+            answer = await self._call_control(caller, 'PUT', '/config', body)
             if answer.code == _DONE:
                 now_s = time.monotonic()
                 self.ledger.note_version(body['version'], now_s)
-                for key in gone:
+                for key in revoked_keys:
                     self.ledger.note_revoked(key, now_s)
                 return True
-            await asyncio.sleep(_AGAIN_S)
+            await asyncio.sleep(_RETRY_INTERVAL_S)
         return False
 
     async def read_catalog(self, caller: Caller) -> int:
         """Return the version that a control process serves, 0 on an error."""
-        answer = await self._ask_control(caller, 'GET', '/config')
+        answer = await self._call_control(caller, 'GET', '/config')
         if answer.code != _DONE:
             return 0
         version = int(answer.body['version'])
@@ -180,7 +184,7 @@
         caller = Caller()
         wave = 0
         while not self.is_over:
-            await asyncio.sleep(self._random.uniform(*_WAVE_S))
+            await asyncio.sleep(self._random.uniform(*_WAVE_INTERVAL_S))
             wave += 1
             names = sorted(instances.pools)
             chosen = self._random.sample(names, len(names) // 2)
@@ -199,29 +203,29 @@
         body = {
             'wave': wave,
             'machines': chosen,
-            'deadline_s': _WAVE_DUE_S,
+            'deadline_s': _WAVE_DEADLINE_S,
             'cap': _WAVE_CAP,
         }
         while not self.is_over:
-            answer = await self._ask_control(
+            answer = await self._call_control(
                 caller, 'POST', '/wave-start', body
             )
             if answer.code == _DONE:
                 break
-            await asyncio.sleep(_AGAIN_S)
+            await asyncio.sleep(_RETRY_INTERVAL_S)
         for _ in range(_TRIES):
-            read = await self._ask_control(caller, 'GET', f'/wave-get/{wave}')
+            read = await self._call_control(caller, 'GET', f'/wave-get/{wave}')
             if read.code == _DONE and read.body['state'] == 'done':
                 missing = set(chosen) - instances.maintained[wave]
                 self.ledger.note_wave_done(wave, missing)
                 return
-            await asyncio.sleep(_AGAIN_S)
+            await asyncio.sleep(_RETRY_INTERVAL_S)
 
-    async def _send_bad(self, caller: Caller) -> None:
+    async def _send_invalid_catalog(self, caller: Caller) -> None:
         body = self._catalog.make_body()
         body['version'] += 1
         body['routes'][0]['service'] = 'nobody'
-        answer = await self._ask_control(caller, 'PUT', '/config', body)
+        answer = await self._call_control(caller, 'PUT', '/config', body)
         if answer.code == _DONE:
             self.ledger.broken.append(
                 'CONFIG: an invalid configuration is confirmed.'
@@ -233,15 +237,15 @@
         Return its name, or an empty string if it was not accepted. Some
         submissions use a revoked key.
         """
-        self._names += 1
-        name = f'{self._names:016x}'
+        self._job_count += 1
+        name = f'{self._job_count:016x}'
         team = self._random.choice(TEAMS)
-        keys = self._catalog.keys[team] + self._catalog.retired[team]
+        keys = self._catalog.keys[team] + self._catalog.revoked[team]
         key = self._random.choice([*keys, keys[0], keys[0]])
         steps = self._make_steps()
         self.ledger.note_submitted(name, team, steps)
         for _ in range(_TRIES):
-            answer = await self._ask_entry(
+            answer = await self._call_entry(
                 caller, 'POST', name, self._make_job(steps), key
             )
             self.ledger.note_answer(name, answer.code)
@@ -250,28 +254,28 @@
                 return name
             if answer.code in _REFUSED or answer.code in _INVALID:
                 return ''
-            await asyncio.sleep(_AGAIN_S)
+            await asyncio.sleep(_RETRY_INTERVAL_S)
         return ''
 
-    async def _read(self, caller: Caller, name: str) -> None:
+    async def _poll_state(self, caller: Caller, name: str) -> None:
         key = self._get_key(name)
         for _ in range(_TRIES):
-            answer = await self._ask_entry(caller, 'GET', name, None, key)
+            answer = await self._call_entry(caller, 'GET', name, None, key)
             if answer.code in {_DONE, 410}:
                 state = answer.body['state'] if answer.body else ''
                 self.ledger.note_state(name, answer.code, state)
                 if state != 'queued':
                     return
-            await asyncio.sleep(_AGAIN_S)
+            await asyncio.sleep(_RETRY_INTERVAL_S)
 
     async def _cancel(self, caller: Caller, name: str) -> None:
         key = self._get_key(name)
         for _ in range(_TRIES):
-            answer = await self._ask_entry(caller, 'DELETE', name, None, key)
+            answer = await self._call_entry(caller, 'DELETE', name, None, key)
             if answer.code in {_DONE, 410}:
                 self.ledger.note_cancelled(name, time.monotonic())
                 return
-            await asyncio.sleep(_AGAIN_S)
+            await asyncio.sleep(_RETRY_INTERVAL_S)
 
     def _get_key(self, name: str) -> str:
         return self._catalog.keys[self.ledger.jobs[name].team][0]
@@ -294,13 +298,13 @@
                     'cpu': step.millicores,
                     'mem_mb': 8,
                     'est_ms': duration_ms,
-                    'deps': list(step.needs),
+                    'deps': list(step.required_steps),
                 }
                 for step in steps
             ],
         }
 
-    async def _ask_entry(
+    async def _call_entry(
         self,
         caller: Caller,
         method: str,
@@ -311,7 +315,7 @@
         address = self._random.choice(self._entries)
         return await caller.call(address, method, f'{QUEUE}{name}', body, key)
 
-    async def _ask_control(
+    async def _call_control(
         self,
         caller: Caller,
         method: str,
