--- a/tests/soak/proxies.py
+++ b/tests/soak/proxies.py
@@ -1,8 +1,7 @@
-"""Proxies on loopback that harm the connections between processes.
+"""Loopback proxies that delay, hold, reset or drop bytes between processes.
 
-Each process that others dial listens at an address of its own behind one, and
-dials from there, so that a fault may be between two processes only, and in one
-direction.
+Each process binds its own address, which identifies it as a sender. A fault
+can therefore affect two processes only, and one direction only.
 """
 
 import asyncio
@@ -18,17 +17,16 @@
 
 
 class Pair(NamedTuple):
-    """Name who dials whom; an empty name is anybody of the stand-ins."""
+    """Identify who dials whom; an unknown sender has an empty name."""
 
     sender: str
     receiver: str
 
 
-class Harm:
-    """Hold what happens to the bytes between two processes.
+class LinkFaults:
+    """Store the faults on connections between two processes.
 
-    Bytes are held while anything holds them, and delivered after that, as
-    after a cut that the network gets over.
+    Held bytes are delivered after the last hold, as TCP does after a partition.
     """
 
     def __init__(self) -> None:
@@ -37,21 +35,21 @@
         self.back_holds = 0
 
     def hold(self, *, forward: int = 0, back: int = 0) -> None:
-        """Begin to hold a direction with 1, and end it with -1."""
+        """Add 1 to the holds of a direction to begin one, or -1 to end it."""
         self.forward_holds += forward
         self.back_holds += back
 
 
 class _Connection:
-    """Hold the two ends of one relayed connection."""
+    """Store the two ends of a relayed connection."""
 
     def __init__(self, pair: Pair, writers: list[asyncio.StreamWriter]) -> None:
         self.pair = pair
         self.writers = writers
-        self.is_forgotten = False
+        self.is_blackholed = False
 
     def reset(self) -> None:
-        """Break both ends off at once."""
+        """Reset both ends."""
         for writer in self.writers:
             own = writer.get_extra_info('socket')
             if own is not None:
@@ -63,11 +61,11 @@
 
 
 class Proxies:
-    """Relay connections, and harm those that a fault names."""
+    """Relay connections, and apply faults to them."""
 
     def __init__(self, names: Mapping[str, str]) -> None:
         self._names = names
-        self._harms: dict[Pair, Harm] = {}
+        self._links: dict[Pair, LinkFaults] = {}
         self._changed = asyncio.Condition()
         self._open: set[_Connection] = set()
         self._servers: list[asyncio.Server] = []
@@ -78,7 +76,7 @@
         outside: tuple[str, int],
         inside: tuple[str, int],
     ) -> None:
-        """Take connections to a process at the address that others dial."""
+        """Accept connections at an outside address, and relay them inside."""
 
         async def accept(
             reader: asyncio.StreamReader,
@@ -90,12 +88,12 @@
 
         self._servers.append(await asyncio.start_server(accept, *outside))
 
-    def get_harm(self, pair: Pair) -> Harm:
-        """Give what happens between two processes, to be changed."""
-        return self._harms.setdefault(pair, Harm())
+    def get_link(self, pair: Pair) -> LinkFaults:
+        """Return the mutable fault state between two processes."""
+        return self._links.setdefault(pair, LinkFaults())
 
     async def apply(self) -> None:
-        """Let changed harms work."""
+        """Wake the relays, so that they deliver what is no longer held."""
         async with self._changed:
             self._changed.notify_all()
 
@@ -105,18 +103,18 @@
             if name in connection.pair:
                 connection.reset()
 
-    def forget(self, name: str) -> None:
-        """Let all open connections of a process go silent for good."""
+    def blackhole(self, name: str) -> None:
+        """Drop all further bytes on the open connections of a process."""
         for connection in self._open:
             if name in connection.pair:
-                connection.is_forgotten = True
+                connection.is_blackholed = True
 
     async def close(self) -> None:
-        """Take no more connections, and break the open ones off."""
+        """Stop listening, and reset the open connections."""
         for server in self._servers:
             server.close()
-        for harm in self._harms.values():
-            harm.hold(forward=-harm.forward_holds, back=-harm.back_holds)
+        for link in self._links.values():
+            link.hold(forward=-link.forward_holds, back=-link.back_holds)
         await self.apply()
         for connection in tuple(self._open):
             connection.reset()
@@ -131,21 +129,25 @@
         inside: tuple[str, int],
     ) -> None:
         try:
-            there = await asyncio.open_connection(*inside)
+            target_streams = await asyncio.open_connection(*inside)
         except OSError:
             writer.transport.abort()
             return
-        connection = _Connection(pair, [writer, there[1]])
+        connection = _Connection(pair, [writer, target_streams[1]])
         self._open.add(connection)
         try:
             await asyncio.gather(
-                self._pass(connection, reader, there[1], is_back=False),
-                self._pass(connection, there[0], writer, is_back=True),
+                self._copy_bytes(
+                    connection, reader, target_streams[1], is_back=False
+                ),
+                self._copy_bytes(
+                    connection, target_streams[0], writer, is_back=True
+                ),
             )
         finally:
             self._open.discard(connection)
 
-    async def _pass(
+    async def _copy_bytes(
         self,
         connection: _Connection,
         reader: asyncio.StreamReader,
@@ -153,21 +155,23 @@
         *,
         is_back: bool,
     ) -> None:
-        harm = self.get_harm(connection.pair)
+        link = self.get_link(connection.pair)
         with suppress(OSError):
             while block := await reader.read(_BLOCK_BYTES):
-                await asyncio.sleep(harm.delay_s)
-                await self._wait_while_held(harm, is_back=is_back)
-                if not connection.is_forgotten:
+                await asyncio.sleep(link.delay_s)
+                await self._wait_until_released(link, is_back=is_back)
+                if not connection.is_blackholed:
                     writer.write(block)
                     await writer.drain()
-        await self._wait_while_held(harm, is_back=is_back)
-        if not connection.is_forgotten:
+        await self._wait_until_released(link, is_back=is_back)
+        if not connection.is_blackholed:
             writer.close()
 
-    async def _wait_while_held(self, harm: Harm, *, is_back: bool) -> None:
+    async def _wait_until_released(
+        self, link: LinkFaults, *, is_back: bool
+    ) -> None:
         def is_free() -> bool:
-            return harm.back_holds == 0 if is_back else harm.forward_holds == 0
+            return link.back_holds == 0 if is_back else link.forward_holds == 0
 
         if not is_free():
             async with self._changed:
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -1,4 +1,4 @@
-"""The processes of one run, the proxies before them and what they meet."""
+"""Set up the processes of a run, their proxies and the simulated workers."""
 
 import asyncio
 import signal
@@ -15,17 +15,18 @@
 from soak.proxies import Proxies
 from soak.workers import Worker
 
-# Others dial the first kind of address, and the processes listen at the second.
-_OUTSIDE = '127.0.1.{}'
-_INSIDE = '127.0.2.{}'
-_ENTRY = '127.0.3.{}'
-_WORKER = '127.0.4.{}'
-_INSTANCES = '127.0.5.1'
-_WATCH_S = 0.2
+# Control processes are dialled at the first address, where a proxy listens,
+# and listen at the second.
+_PROXY_HOST = '127.0.1.{}'
+_CONTROL_HOST = '127.0.2.{}'
+_ENTRY_HOST = '127.0.3.{}'
+_WORKER_HOST = '127.0.4.{}'
+_INSTANCES_HOST = '127.0.5.1'
+_WATCH_INTERVAL_S = 0.2
 
 
 class Sizes(NamedTuple):
-    """Hold how many processes and stand-ins a run has."""
+    """Store the numbers of processes, workers and callers of a run."""
 
     controls: int = 5
     entries: int = 3
@@ -35,12 +36,12 @@
 
     @property
     def failures_tolerated(self) -> int:
-        """Give how many control processes may be lost at once."""
+        """Return how many control processes may fail at the same time."""
         return (self.controls - 1) // 2
 
 
 class Ports(NamedTuple):
-    """Hold the ports, the same at each address."""
+    """Store the port numbers, which are the same at all addresses."""
 
     cluster: int
     operators: int
@@ -49,14 +50,14 @@
 
 
 class Site:
-    """Hold the processes and all that they speak with."""
+    """Start and stop the processes, proxies, workers and instances of a run."""
 
     def __init__(self, folder: Path, sizes: Sizes, ledger: Ledger, seed: int):
         self.controls = tuple(
-            _OUTSIDE.format(place + 1) for place in range(sizes.controls)
+            _PROXY_HOST.format(index + 1) for index in range(sizes.controls)
         )
         self.entries = tuple(
-            _ENTRY.format(place + 1) for place in range(sizes.entries)
+            _ENTRY_HOST.format(index + 1) for index in range(sizes.entries)
         )
         self.processes = PlatformProcesses(folder)
         self.proxies = Proxies(
@@ -69,38 +70,38 @@
         self._started: set[str] = set()
         self.workers = self._make_workers(ledger, Random(seed))
         self.instances = Instances(
-            Address(_INSTANCES, self._ports.worker),
+            Address(_INSTANCES_HOST, self._ports.worker),
             self.workers,
             ledger,
         )
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Give the names of all processes."""
+        """Return the names of all processes."""
         return (*self.controls, *self.entries)
 
     def get_addresses(self) -> tuple[tuple[Address, ...], tuple[Address, ...]]:
-        """Give where callers, and where workers and operators call."""
+        """Return the addresses of the entries and of the control processes."""
         ports = self._ports
         return (
             tuple(Address(name, ports.callers) for name in self.entries),
             tuple(Address(name, ports.operators) for name in self.controls),
         )
 
-    async def begin(self) -> None:
-        """Start all."""
+    async def start_all(self) -> None:
+        """Start the proxies, the workers and all processes."""
         for name in self.controls:
             inside = self._get_inside(name)
             for port in (self._ports.cluster, self._ports.operators):
                 await self.proxies.listen(name, (name, port), (inside, port))
-        for place, instance in enumerate(self.workers):
-            is_spare = place >= self.sizes.workers
-            self.instances.put(instance, STANDBY if is_spare else POOL)
+        for index, instance in enumerate(self.workers):
+            is_standby = index >= self.sizes.workers
+            self.instances.put(instance, STANDBY if is_standby else POOL)
         for process in self.names:
             self.start(process)
 
-    async def end(self) -> None:
-        """Stop all that was started here."""
+    async def stop_all(self) -> None:
+        """Stop all processes, proxies, workers and the instance server."""
         for name in self.processes.ids:
             self.processes.send_signal(name, signal.SIGCONT)
         self.processes.kill_all()
@@ -110,28 +111,28 @@
         await self.instances.stop()
 
     def start(self, name: str) -> None:
-        """Start a process, with the leave to found a cluster only once."""
+        """Start a process; only its first start may found a cluster."""
         self.processes.start(name, self._make_settings(name))
         self._started.add(name)
 
     async def watch(self) -> None:
-        """Start processes again that end by themselves, which none should."""
+        """Record each process that exits unexpectedly, and restart it."""
         while True:
-            await asyncio.sleep(_WATCH_S)
+            await asyncio.sleep(_WATCH_INTERVAL_S)
             for name, code in self.processes.list_ended().items():
                 self._ledger.note_ended(name, code)
                 self.start(name)
 
     def pick_worker(self, target: int) -> Worker:
-        """Give the worker that a fault is meant for."""
+        """Return the worker that a fault's target number selects."""
         return tuple(self.workers.values())[target % len(self.workers)]
 
     def get_folder(self, name: str) -> Path:
-        """Give the data folder of a process."""
+        """Return the data folder of a process."""
         return self._folder / f'data-{name}'
 
     def get_log(self, name: str) -> Path:
-        """Give the file that a control process adds its records to."""
+        """Return the path of a control process's write-ahead log."""
         return self.get_folder(name) / 'replica' / 'log.wal'
 
     def _make_workers(
@@ -140,14 +141,14 @@
         numbers = count(1)
         total = self.sizes.workers + self.sizes.standby
         return {
-            f'm-{place}': Worker(
-                f'm-{place}',
-                Address(_WORKER.format(place + 1), self._ports.worker),
+            f'm-{index}': Worker(
+                f'm-{index}',
+                Address(_WORKER_HOST.format(index + 1), self._ports.worker),
                 ledger,
                 random,
                 lambda: f'i-{next(numbers)}',
             )
-            for place in range(total)
+            for index in range(total)
         }
 
     def _make_settings(self, name: str) -> dict[str, Any]:
@@ -165,7 +166,7 @@
             'data_centre': 'rennes',
             'data_folder': str(self.get_folder(name)),
             'network': 'private',
-            'instances': f'{_INSTANCES}:{ports.worker}',
+            'instances': f'{_INSTANCES_HOST}:{ports.worker}',
             'cluster': cluster,
             'logs': {'format': 'json'},
         }
@@ -183,12 +184,12 @@
         }
 
     def _get_inside(self, name: str) -> str:
-        # Nobody dials an entry but callers, who use its own address.
+        # Entries have no proxy: only callers dial them, and do so directly.
         if name in self.entries:
             return name
-        return _INSIDE.format(self.controls.index(name) + 1)
+        return _CONTROL_HOST.format(self.controls.index(name) + 1)
 
 
 def _find_ports() -> Ports:
-    # Behind the cluster's port operators' own interface needs the next one.
+    # A control process listens at the cluster port and at the next one.
     return Ports(find_port_pair(), *find_ports(3))
