--- a/tests/soak/calls.py
+++ b/tests/soak/calls.py
@@ -8,11 +8,11 @@
 
 from sardinemast.conf import Address
 
-NO_ANSWER = 0
+NO_RESPONSE = 0
 _TIMEOUT_S = 1.5
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """Store a response's status code, or 0 for none, its body and send time."""
 
     code: int
@@ -33,8 +33,8 @@
         path: str,
         body: Any = None,
         key: str = '',
-    ) -> Answer:
-        """Send one request, and return its response or ``NO_ANSWER``."""
+    ) -> Response:
+        """Send a request; without a response the code is ``NO_RESPONSE``."""
         return await asyncio.to_thread(
             self._call, address, method, path, body, key
         )
@@ -51,7 +51,7 @@
         path: str,
         body: Any,
         key: str,
-    ) -> Answer:
+    ) -> Response:
         connection = self._open.pop(address, None) or HTTPConnection(
             *address, timeout=_TIMEOUT_S
         )
@@ -60,13 +60,15 @@
         sent_s = time.monotonic()
         try:
             connection.request(method, path, content, headers)
-            answer = connection.getresponse()
-            found = answer.read()
+            response = connection.getresponse()
+            response_body = response.read()
         except (OSError, HTTPException):
             connection.close()
-            return Answer(NO_ANSWER, None, sent_s)
-        if answer.will_close:
+            return Response(NO_RESPONSE, None, sent_s)
+        if response.will_close:
             connection.close()
         else:
             self._open[address] = connection
-        return Answer(answer.status, json.loads(found or b'null'), sent_s)
+        return Response(
+            response.status, json.loads(response_body or b'null'), sent_s
+        )
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -107,8 +107,8 @@
         """Record that a caller is about to submit a job."""
         self.jobs.setdefault(name, _Job(team, steps))
 
-    def note_answer(self, name: str, code: int) -> None:
-        """Record the status code of a submission; 0 means no response."""
+    def note_response(self, name: str, code: int) -> None:
+        """Record the status code of a submission, 0 for no response."""
         job = self.jobs[name]
         if code in _ACCEPTED:
             job.is_accepted = True
@@ -185,10 +185,12 @@
     def note_read(self, version: int, sent_s: float) -> None:
         """Check that a read sent at ``sent_s`` returned no outdated version."""
         due_s = sent_s - self._bounds.in_force_s
-        known = [one for at_s, one in self._versions if at_s <= due_s]
-        if version < max(known, default=0):
+        confirmed = [
+            earlier for at_s, earlier in self._versions if at_s <= due_s
+        ]
+        if version < max(confirmed, default=0):
             self._report_violation(
-                'CONFIG', f'version {version} is read after {max(known)}'
+                'CONFIG', f'version {version} is read after {max(confirmed)}'
             )
 
     def note_revoked(self, key: str, now_s: float) -> None:
@@ -282,19 +284,20 @@
         return any(task.job == name for task in self._running)
 
     def _check_required_steps(self, job: _Job, task: Task) -> None:
-        for needed in job.steps[task.step].required_steps:
-            ended = sum(one.step == needed for one in job.done)
-            if ended < job.steps[needed].task_count:
+        for required_step in job.steps[task.step].required_steps:
+            ended = sum(done.step == required_step for done in job.done)
+            if ended < job.steps[required_step].task_count:
                 self._report_violation(
-                    'ORDER', f'{task} starts before step {needed} is done'
+                    'ORDER',
+                    f'{task} starts before step {required_step} is done',
                 )
 
     def _check_cap(self, job: _Job, task: Task) -> None:
         cap = self._caps.get(job.team, 0)
         used = sum(
-            self.jobs[one.job].steps[one.step].millicores * len(workers)
-            for one, workers in self._running.items()
-            if workers and self.jobs[one.job].team == job.team
+            self.jobs[other.job].steps[other.step].millicores * len(workers)
+            for other, workers in self._running.items()
+            if workers and self.jobs[other.job].team == job.team
         )
         if cap and used > cap * _CAP_SLACK:
             self._report_violation(
--- a/tests/soak/test_ledger.py
+++ b/tests/soak/test_ledger.py
@@ -12,7 +12,7 @@
 def _make_ledger(code: int = 200, cap: int = 0) -> Ledger:
     ledger = Ledger(Bounds(), {'breizh': cap})
     ledger.note_submitted('job', 'breizh', _STEPS)
-    ledger.note_answer('job', code)
+    ledger.note_response('job', code)
     return ledger
 
 
--- a/tests/soak/traffic.py
+++ b/tests/soak/traffic.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from sardinemast.conf import Address
-from soak.calls import Answer, Caller
+from soak.calls import Caller, Response
 from soak.instances import POOL, STANDBY, Instances
 from soak.ledger import Ledger, Step
 from soak.workers import Worker
@@ -121,14 +121,14 @@
                 continue
             body = worker.describe()
             address = accepting or self._random.choice(self._controls)
-            answer = await caller.call(
+            response = await caller.call(
                 address,
                 'PUT',
                 f'/instances/{incarnation.name}',
                 body,
             )
             accepting = None
-            if answer.code == _DONE:
+            if response.code == _DONE:
                 accepting = address
                 if body['state'] == 'draining':
                     self.ledger.note_draining(
@@ -160,8 +160,8 @@
         """Send the configuration until it is confirmed or the tries run out."""
         body = self._catalog.make_body()
         for _ in range(_TRIES):
-            answer = await self._call_control(caller, 'PUT', '/config', body)
-            if answer.code == _DONE:
+            response = await self._call_control(caller, 'PUT', '/config', body)
+            if response.code == _DONE:
                 now_s = time.monotonic()
                 self.ledger.note_version(body['version'], now_s)
                 for key in revoked_keys:
@@ -172,11 +172,11 @@
 
     async def read_catalog(self, caller: Caller) -> int:
         """Return the version that a control process serves, 0 on an error."""
-        answer = await self._call_control(caller, 'GET', '/config')
-        if answer.code != _DONE:
+        response = await self._call_control(caller, 'GET', '/config')
+        if response.code != _DONE:
             return 0
-        version = int(answer.body['version'])
-        self.ledger.note_read(version, answer.sent_s)
+        version = int(response.body['version'])
+        self.ledger.note_read(version, response.sent_s)
         return version
 
     async def maintain(self, instances: Instances) -> None:
@@ -207,10 +207,10 @@
             'cap': _WAVE_CAP,
         }
         while not self.is_over:
-            answer = await self._call_control(
+            response = await self._call_control(
                 caller, 'POST', '/wave-start', body
             )
-            if answer.code == _DONE:
+            if response.code == _DONE:
                 break
             await asyncio.sleep(_RETRY_INTERVAL_S)
         for _ in range(_TRIES):
@@ -225,8 +225,8 @@
         body = self._catalog.make_body()
         body['version'] += 1
         body['routes'][0]['service'] = 'nobody'
-        answer = await self._call_control(caller, 'PUT', '/config', body)
-        if answer.code == _DONE:
+        response = await self._call_control(caller, 'PUT', '/config', body)
+        if response.code == _DONE:
             self.ledger.broken.append(
                 'CONFIG: an invalid configuration is confirmed.'
             )
@@ -245,14 +245,14 @@
         steps = self._make_steps()
         self.ledger.note_submitted(name, team, steps)
         for _ in range(_TRIES):
-            answer = await self._call_entry(
+            response = await self._call_entry(
                 caller, 'POST', name, self._make_job(steps), key
             )
-            self.ledger.note_answer(name, answer.code)
-            self.ledger.note_key_used(key, answer.code, answer.sent_s)
-            if answer.code == _DONE:
+            self.ledger.note_response(name, response.code)
+            self.ledger.note_key_used(key, response.code, response.sent_s)
+            if response.code == _DONE:
                 return name
-            if answer.code in _REFUSED or answer.code in _INVALID:
+            if response.code in _REFUSED or response.code in _INVALID:
                 return ''
             await asyncio.sleep(_RETRY_INTERVAL_S)
         return ''
@@ -260,10 +260,10 @@
     async def _poll_state(self, caller: Caller, name: str) -> None:
         key = self._get_key(name)
         for _ in range(_TRIES):
-            answer = await self._call_entry(caller, 'GET', name, None, key)
-            if answer.code in {_DONE, 410}:
-                state = answer.body['state'] if answer.body else ''
-                self.ledger.note_state(name, answer.code, state)
+            response = await self._call_entry(caller, 'GET', name, None, key)
+            if response.code in {_DONE, 410}:
+                state = response.body['state'] if response.body else ''
+                self.ledger.note_state(name, response.code, state)
                 if state != 'queued':
                     return
             await asyncio.sleep(_RETRY_INTERVAL_S)
@@ -271,8 +271,8 @@
     async def _cancel(self, caller: Caller, name: str) -> None:
         key = self._get_key(name)
         for _ in range(_TRIES):
-            answer = await self._call_entry(caller, 'DELETE', name, None, key)
-            if answer.code in {_DONE, 410}:
+            response = await self._call_entry(caller, 'DELETE', name, None, key)
+            if response.code in {_DONE, 410}:
                 self.ledger.note_cancelled(name, time.monotonic())
                 return
             await asyncio.sleep(_RETRY_INTERVAL_S)
@@ -311,7 +311,7 @@
         name: str,
         body: Any,
         key: str,
-    ) -> Answer:
+    ) -> Response:
         address = self._random.choice(self._entries)
         return await caller.call(address, method, f'{QUEUE}{name}', body, key)
 
@@ -321,6 +321,6 @@
         method: str,
         path: str,
         body: Any = None,
-    ) -> Answer:
+    ) -> Response:
         address = self._random.choice(self._controls)
         return await caller.call(address, method, path, body)
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -218,7 +218,7 @@
             200,
             born=incarnation.born_ms,
             running=[
-                [one, run, '', 50] for one, run in incarnation.running.items()
+                [key, run, '', 50] for key, run in incarnation.running.items()
             ],
             finished=incarnation.unacked_ends,
         )
