--- a/src/sardinemast/exceptions.py
+++ b/src/sardinemast/exceptions.py
@@ -1,10 +1,10 @@
-"""Base of all errors that carry a code."""
+"""Define the base class of exceptions with an error code."""
 
 
 class CodedError(Exception):
-    """Name what went wrong by a stable code, and say what to do.
+    """Report an error with a stable code, a message and an optional hint.
 
-    The code has the form ``package.E000`` and is listed in the reference.
+    Codes have the form ``package.E000`` and are listed in the reference.
     """
 
     def __init__(self, code: str, text: str, hint: str = '') -> None:
@@ -14,7 +14,7 @@
         self.hint = hint
 
     def __str__(self) -> str:
-        """Give the one line that a person reads."""
+        """Return the code, the message and any hint on one line."""
         line = f'{self.code}: {self.text}'
         if self.hint:
             return f'{line} {self.hint}'
