--- a/tests/idempotency/test_claims_fuzz.py
+++ b/tests/idempotency/test_claims_fuzz.py
@@ -1,5 +1,7 @@
 """Stateful fuzz test that each key is granted at most once."""
 
+from collections import defaultdict
+
 import pytest
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -24,8 +26,9 @@
 class ClaimMachine(RuleBasedStateMachine):
     """Run four entries with delayed, repeated and lost messages.
 
-    The model tracks when each key was granted. A granted request counts as
-    run unless its entry reports that it was not sent.
+    The model tracks when each request was granted its key. A granted request
+    counts as run unless its entry reports that it was not sent. After the
+    retention time a key may be granted again while an earlier request lasts.
     """
 
     def __init__(self) -> None:
@@ -33,7 +36,8 @@
         self._entries = Entries()
         self._keys: dict[int, tuple[str, bytes]] = {}
         self._granted: dict[int, tuple[str, bytes]] = {}
-        self._granted_at_s: dict[bytes, float] = {}
+        self._granted_at_s: defaultdict[bytes, dict[int, float]]
+        self._granted_at_s = defaultdict(dict)
         for name in NAMES[:3]:
             self._entries.start(name)
             for other in self._entries.nodes:
@@ -77,7 +81,7 @@
     @rule(name=_NAME, others=st.lists(_NAME, max_size=3))
     def sync(self, name: str, others: list[str]) -> None:
         """Let an entry apply the log and sync with some entries."""
-        for one in {name, *others} & self._entries.nodes.keys():
+        for one in sorted({name, *others} & self._entries.nodes.keys()):
             self._entries.catch_up(one)
         if name in self._entries.nodes:
             self._entries.feed(name, Tick())
@@ -90,7 +94,7 @@
             request_id = sorted(self._granted)[choice % len(self._granted)]
             name, key = self._granted.pop(request_id)
             if outcome is ClaimOutcome.released:
-                self._granted_at_s.pop(key)
+                self._granted_at_s[key].pop(request_id)
             self._entries.end(name, RequestEnded(request_id, outcome))
             self._check_decisions()
 
@@ -159,13 +163,14 @@
     def _check_decision(self, request_id: int, decided: ClaimDecided) -> None:
         name, key = self._keys.pop(request_id)
         if decided.verdict is ClaimVerdict.granted:
-            earlier_s = self._granted_at_s.get(key, float('-inf'))
+            earlier = self._granted_at_s[key].values()
+            earlier_s = max(earlier, default=float('-inf'))
             retained_s = RETENTION_S - CLAIM_TIMEOUT_S
             assert self._entries.now_s >= earlier_s + retained_s
-            self._granted_at_s[key] = self._entries.now_s
+            self._granted_at_s[key][request_id] = self._entries.now_s
             self._granted[request_id] = (name, key)
         elif decided.verdict is ClaimVerdict.answered:
-            assert key in self._granted_at_s
+            assert self._granted_at_s[key]
 
 
 TestClaims = pytest.mark.fuzz(ClaimMachine.TestCase)
