--- a/tests/processes/test_platform.py
+++ b/tests/processes/test_platform.py
@@ -51,6 +51,8 @@
     fleet = PlatformFleet(tmp_path)
     with fleet.run():
         _configure(fleet)
+        # The entry may still be starting; the calls below are not repeated.
+        fleet.wait_for(200, 'GET', '/seats/')
         assert (
             fleet.call('POST', _JOB_PATH, _make_job(), key='withdrawn')[0]
             == 401
